--- a/internal/coordination/scheduling/standing_test.go
+++ b/internal/coordination/scheduling/standing_test.go
@@ -11,15 +11,15 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// standingBound is how long work may have nothing running beside much free room, and a
-// step of the short replay.
-const standingBound = 1500*time.Millisecond + replayEvery
+// starvationLimit is how long work may have nothing running beside ample free capacity,
+// plus a step of the short replay.
+const starvationLimit = 1500*time.Millisecond + replayStep
 
-// nearData are units of workflows of their own, each with its data in the rack.
-func nearData(rack string, ids ...string) []arrival {
+// unitsNearData returns units of separate workflows, each with its data in the rack.
+func unitsNearData(rack string, ids ...string) []arrival {
 	var arrivals []arrival
 	for i, id := range ids {
-		at := time.Duration(i+1) * replayEvery
+		at := time.Duration(i+1) * replayStep
 		unit := unitJob(id, "b", 2, 8, dataIn(rack))
 		unit.SubmittedMs = start.Add(at).UnixMilli()
 		arrivals = append(arrivals, arrival{at, unit})
@@ -27,7 +27,8 @@
 	return arrivals
 }
 
-// busyRack is the first of three racks with all its workers busy.
+// busyRack returns three racks of four workers, and a job that occupies all workers of
+// the first.
 func busyRack(busy time.Duration) ([]Worker, []arrival) {
 	workers := testWorkers(1, 3, 4, 8)
 	job := unitJob("busy", "b", 4, 8, running(0, 0, "d0-r0-w0", "d0-r0-w1", "d0-r0-w2", "d0-r0-w3"))
@@ -35,43 +36,44 @@
 	return workers, []arrival{{0, job}}
 }
 
-// Accepted work of several workflows has nothing running for as long as the rack of its
-// data, or every rack, is busy in part, while most of the workers idle.
+// Guards against starvation by locality: accepted work of several workflows has nothing
+// running as long as the rack of its data, or every rack, is partly busy, while most
+// of the workers are idle.
 func TestWorkBeginsBesideFreeRoom(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		busy   func(time.Duration) ([]Worker, []arrival)
 		coming []arrival
 	}{
-		{"one unit near its data", busyRack, nearData("r0", "u0")},
-		{"two units of two workflows near their data", busyRack, nearData("r0", "u0", "u1")},
+		{"one unit near its data", busyRack, unitsNearData("r0", "u0")},
+		{"two units of two workflows near their data", busyRack, unitsNearData("r0", "u0", "u1")},
 		{"a gang for a whole rack", busyRacks, gangArrivals("g0")},
 		{"gangs for whole racks, one after the other", busyRacks, gangArrivals("g0", "g1", "g2")},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			workers, busy := c.busy(40 * time.Second)
-			longest := longestStand(workers, append(busy, c.coming...), time.Minute)
-			t.Log("longest stand", longest)
-			is.True(longest <= standingBound) // nothing stands for longer
+			longest := longestStarvation(workers, append(busy, c.coming...), time.Minute)
+			t.Log("longest starvation", longest)
+			is.True(longest <= starvationLimit) // nothing is starved for longer
 		})
 	}
 }
 
-// longestStand replays arrivals and gives for how long a job stood at the most: it waits
-// and fits twice over while over half of the accelerators are free, or nothing comes any
-// more, the cores being free all the time.
-func longestStand(workers []Worker, arrivals []arrival, length time.Duration) time.Duration {
+// longestStarvation replays arrivals and returns the longest time for which a job was
+// starved: it waits, and twice its tasks fit, while over half of the accelerators are
+// free or arrivals have stopped (the cores are free all the time).
+func longestStarvation(workers []Worker, arrivals []arrival, length time.Duration) time.Duration {
 	r := newShortReplay(workers, arrivals)
 	since := map[string]time.Duration{}
 	var longest, last time.Duration
 	for _, a := range arrivals {
 		last = max(last, a.at)
 	}
-	for now := time.Duration(0); now <= length; now += replayEvery {
+	for now := time.Duration(0); now <= length; now += replayStep {
 		r.pass(now)
 		for _, job := range r.active(now) {
-			if job.State != controlpb.JobState_JOB_STATE_WAITING || !r.standsNow(job, now, now-last > MostStand) {
+			if job.State != controlpb.JobState_JOB_STATE_WAITING || !r.starvedNow(job, now, now-last > MostStand) {
 				delete(since, job.Id)
 				continue
 			}
@@ -84,8 +86,8 @@
 	return longest
 }
 
-// standsNow counts by itself what runs.
-func (r *shortReplay) standsNow(job *controlpb.Job, now time.Duration, quiet bool) bool {
+// starvedNow counts the running work independently of the pass.
+func (r *shortReplay) starvedNow(job *controlpb.Job, now time.Duration, quiet bool) bool {
 	free := map[string]uint32{}
 	var all, left, fit uint32
 	for _, worker := range r.workers {
@@ -104,25 +106,25 @@
 	return (quiet || 2*left > all) && fit >= 2*job.Tasks
 }
 
-// Guaranteed or urgent work that has stood is kept from taking room back, although it can't
-// begin anywhere.
+// Guards against starvation ruling out preemption: guaranteed or urgent work that has
+// been starved, but can't start on any worker, still has to preempt.
 func TestWorkThatStoodStillTakesBack(t *testing.T) {
 	one := func() []Worker { return testWorkers(1, 1, 1, 8) }
-	stood := func(snapshot *Snapshot, job string) *Snapshot {
+	starved := func(snapshot *Snapshot, job string) *Snapshot {
 		snapshot.Standing = []Standing{{Job: job, Since: start.Add(-time.Minute)}}
 		return snapshot
 	}
-	loan := func() *controlpb.Job { return unitJob("loan", "b", 1, 8, running(time.Second, 0, "d0-r0-w0")) }
+	lent := func() *controlpb.Job { return unitJob("loan", "b", 1, 8, running(time.Second, 0, "d0-r0-w0")) }
 	own := waitingJob("j", "a", 1, 8, urgent)
 	runCases(t, []passCase{
-		{name: "a job of no workflow", snapshot: stood(units(one(), own, loan()), "j"), want: map[string]string{"j": "taking_back", "loan": "stop"}},
-		{name: "a unit whose room has gone", snapshot: stood(units(one(), unitJob("j", "a", 1, 8, first, dueIn(4*time.Second)), loan()), "j"),
+		{name: "a job of no workflow", snapshot: starved(unitsSnapshot(one(), own, lent()), "j"), want: map[string]string{"j": "taking_back", "loan": "stop"}},
+		{name: "a unit whose free capacity is gone", snapshot: starved(unitsSnapshot(one(), unitJob("j", "a", 1, 8, topPriority, dueIn(4*time.Second)), lent()), "j"),
 			want: map[string]string{"j": "taking_back", "loan": "stop"}},
 	})
 }
 
-// drawnBusy draws a cluster with work on it that runs for long, in few or many racks.
-func drawnBusy(t *rapid.T) ([]Worker, []arrival) {
+// drawBusyCluster draws a cluster of few or many racks, with long-running work on it.
+func drawBusyCluster(t *rapid.T) ([]Worker, []arrival) {
 	racks, perRack := rapid.IntRange(1, 5).Draw(t, "racks"), rapid.IntRange(1, 6).Draw(t, "workers a rack")
 	workers := testWorkers(1, racks, perRack, 8)
 	var arrivals []arrival
@@ -138,12 +140,12 @@
 	return workers, arrivals
 }
 
-// drawnUnits draws units that come within some seconds, many of them near data or in gangs
-// for whole racks, urgent ones among them.
-func drawnUnits(t *rapid.T, racks int) []arrival {
+// drawUnits draws units that arrive within some seconds, many of them with data in a
+// rack or in gangs for whole racks, some of them urgent.
+func drawUnits(t *rapid.T, racks int) []arrival {
 	var arrivals []arrival
 	for i := range rapid.IntRange(1, 12).Draw(t, "units") {
-		at := time.Duration(rapid.IntRange(0, 50).Draw(t, "at")) * replayEvery
+		at := time.Duration(rapid.IntRange(0, 50).Draw(t, "at")) * replayStep
 		unit := unitJob(fmt.Sprint("u", i), rapid.SampledFrom([]string{"a", "b"}).Draw(t, "customer"),
 			uint32(rapid.IntRange(1, 8).Draw(t, "tasks")), uint32(rapid.IntRange(1, 8).Draw(t, "each")))
 		unit.RunTimeMs = int64(rapid.SampledFrom([]int{1, 5, 11}).Draw(t, "run")) * 1000
@@ -162,18 +164,18 @@
 	return arrivals
 }
 
-// Work of any shape has nothing running for long beside much free room, whatever runs and
-// comes beside it.
+// Work of any shape is never starved for long while there is ample free capacity,
+// whatever runs and arrives at the same time.
 func TestNothingStandsBesideFreeRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		workers, busy := drawnBusy(t)
+		workers, busy := drawBusyCluster(t)
 		racks := map[string]bool{}
 		for _, worker := range workers {
 			racks[worker.Rack] = true
 		}
-		arrivals := append(busy, drawnUnits(t, len(racks))...)
-		if longest := longestStand(workers, arrivals, 70*time.Second); longest > standingBound {
-			t.Fatalf("something stood for %v", longest)
+		arrivals := append(busy, drawUnits(t, len(racks))...)
+		if longest := longestStarvation(workers, arrivals, 70*time.Second); longest > starvationLimit {
+			t.Fatalf("a job was starved for %v", longest)
 		}
 	})
 }
--- a/internal/coordination/scheduling/takeback.go
+++ b/internal/coordination/scheduling/takeback.go
@@ -8,90 +8,91 @@
 )
 
 const (
-	// mostStopOverhead is the work that each accelerator of a gang loses by a stop
-	// and a start even with a checkpoint, in seconds.
-	mostStopOverhead = 30
-	// stopOverheadShare bounds it by the declared run time: short work loads and
-	// saves little, and would else seem to cost the same to stop whether it has
-	// just begun or is about to end.
-	stopOverheadShare = 0.1
+	// maxPreemptionOverhead is the work that each accelerator of a gang loses by a stop
+	// and a restart even with a checkpoint, in seconds.
+	maxPreemptionOverhead = 30
+	// preemptionOverheadShare limits it by the declared run time: short work loads and
+	// saves little, and would otherwise seem to cost the same to stop whether it has
+	// just started or is about to end.
+	preemptionOverheadShare = 0.1
 )
 
-func stopOverhead(job *controlpb.Job) float64 {
-	return min(mostStopOverhead, max(stopOverheadShare*float64(job.RunTimeMs)/1000, leastRunTime.Seconds()))
+func preemptionOverhead(job *controlpb.Job) float64 {
+	return min(maxPreemptionOverhead, max(preemptionOverheadShare*float64(job.RunTimeMs)/1000, minRunTime.Seconds()))
 }
 
-// lostByStopping is the work thrown away by stopping a gang now, in
-// accelerator seconds (a task without accelerators counts as one).
-func (p *pass) lostByStopping(job *controlpb.Job) float64 {
-	width := workWidth(job)
+// lostByPreempting returns the work discarded by stopping a gang now, in
+// accelerator-seconds (a task without accelerators counts as one).
+func (p *pass) lostByPreempting(job *controlpb.Job) float64 {
+	size := weightedSize(job)
 	if job.Checkpointable || job.StartedMs == 0 {
-		return stopOverhead(job) * width
+		return preemptionOverhead(job) * size
 	}
 	ran := float64(max(p.nowMs-job.StartedMs, 0)) / 1000
-	return (stopOverhead(job) + ran) * width
+	return (preemptionOverhead(job) + ran) * size
 }
 
-// coresPerAccelerator is how many cores weigh as much as one accelerator where
-// work is compared.
+// coresPerAccelerator is how many cores weigh as much as one accelerator where work is
+// compared.
 const coresPerAccelerator = 8
 
-// workWidth is what a job holds, in accelerators and as many cores as weigh the
-// same; at least one for each task.
-func workWidth(job *controlpb.Job) float64 {
+// weightedSize returns what a job holds in accelerators, with cores converted by
+// coresPerAccelerator; at least one for each task.
+func weightedSize(job *controlpb.Job) float64 {
 	cores := float64(milliCores(job.Cores, job.CoresMilli)) / milliPerCore
 	return float64(max(job.Tasks, 1)) * max(float64(job.Accelerators)+cores/coresPerAccelerator, 1)
 }
 
-// offer is a place for an ask, with the gangs to stop for it.
-type offer struct {
-	spots   []spot
-	victims []*gang
-	lost    float64
+// preemptionPlan is a placement for a request, with the gangs to stop for it.
+type preemptionPlan struct {
+	placement []nodeTasks
+	victims   []*gang
+	lostWork  float64
 }
 
-// hold finds a place for a job that may take back: first where room is ending
-// already, so that a later pass does not stop a second gang for the same job,
-// then by stopping the gangs that lose least.
-func (p *pass) hold(a *ask, by right) bool {
-	soon := room(roomSoon)
-	domains := p.cluster.domains(a.adjacency)
-	if by == rightOwner {
-		soon = unclaimedOnly(roomOwnSoon)
-		domains = groups(p.cellNodes(a.customer), a.adjacency)
+// preemptFor finds a placement for a job that may preempt: first where capacity is
+// already being released, so that a later pass doesn't stop a second gang for the same
+// job, then by stopping the gangs that lose the least work.
+func (p *pass) preemptFor(req *request, grounds preemptionGrounds) bool {
+	capacity := capacityFunc(futureCapacity)
+	domains := p.cluster.domains(req.adjacency)
+	if grounds == groundsGuarantee {
+		capacity = unclaimedCellsOnly(ownerFutureCapacity)
+		domains = groups(p.cellNodes(req.customer), req.adjacency)
 	}
-	best := p.bestOffer(a, domains, soon, by)
-	if best == nil || best.lost > p.mayLose(a) {
+	best := p.bestPreemption(req, domains, capacity, grounds)
+	if best == nil || best.lostWork > p.lossBudget(req) {
 		return false
 	}
 	for _, g := range best.victims {
 		p.preempt(g)
 	}
-	p.promise(a, best.spots)
+	p.reservePlacement(req, best.placement)
 	return true
 }
 
-// bestOffer compares the domains that the gang's adjacency allows.
-func (p *pass) bestOffer(a *ask, domains []*domain, room room, by right) *offer {
-	var best *offer
+// bestPreemption returns the plan that loses the least work among the given domains, or
+// nil.
+func (p *pass) bestPreemption(req *request, domains []*domain, capacity capacityFunc, grounds preemptionGrounds) *preemptionPlan {
+	var best *preemptionPlan
 	for _, domain := range domains {
-		found := p.offer(a, domain, room, by)
-		if found == nil || (best != nil && found.lost >= best.lost) {
+		found := p.planPreemption(req, domain, capacity, grounds)
+		if found == nil || (best != nil && found.lostWork >= best.lostWork) {
 			continue
 		}
 		best = found
-		if best.lost == 0 {
+		if best.lostWork == 0 {
 			break
 		}
 	}
 	return best
 }
 
-// groups divides nodes, kept in topology order, into adjacent ones.
+// groups divides nodes, in topology order, into domains of the adjacency.
 func groups(nodes []*node, adjacency controlpb.Adjacency) []*domain {
 	var domains []*domain
 	for i, n := range nodes {
-		if i == 0 || !near(nodes[i-1], n, adjacency) {
+		if i == 0 || !withinAdjacency(nodes[i-1], n, adjacency) {
 			domains = append(domains, &domain{})
 		}
 		last := domains[len(domains)-1]
@@ -100,80 +101,80 @@
 	return domains
 }
 
-// offer adds victims in one domain, the least lost work for each accelerator
-// first, until the gang fits, and then lets go of those not needed. It leaves
-// the index as it found it.
-func (p *pass) offer(a *ask, domain *domain, room room, by right) *offer {
-	if !couldHold(domain.nodes, a, butFixed) {
+// planPreemption adds victims in one domain, those with the least lost work for each
+// accelerator first, until the gang fits, and then drops those that aren't needed. It
+// restores the index before it returns.
+func (p *pass) planPreemption(req *request, domain *domain, capacity capacityFunc, grounds preemptionGrounds) *preemptionPlan {
+	if !mayHold(domain.nodes, req, withoutNonPreemptible) {
 		return nil
 	}
-	t := domain.tally(p.cluster, a, room)
-	found := &offer{}
+	t := domain.tally(p.cluster, req, capacity)
+	found := &preemptionPlan{}
 	for _, g := range domain.candidates() {
 		if t.fits() {
 			break
 		}
-		if !g.preempted && p.mayStop(a, g, t, by) {
-			g.release()
+		if !g.preempted && p.mayPreempt(req, g, t, grounds) {
+			g.markReleasing()
 			t.recountGang(g)
 			found.victims = append(found.victims, g)
 		}
 	}
 	if t.fits() {
 		found.prune(t)
-		found.spots = t.spots()
+		found.placement = t.placement()
 	}
 	for _, g := range found.victims {
-		g.retake()
-		found.lost += g.lost
+		g.unmarkReleasing()
+		found.lostWork += g.lostWork
 	}
-	if found.spots == nil {
+	if found.placement == nil {
 		return nil
 	}
 	return found
 }
 
-// couldHold is a quick no: the domain takes too few tasks even if all that is left of
-// each node, as left counts it, were free.
-func couldHold(domain []*node, a *ask, left func(*node) amount) bool {
+// mayHold rules out domains that hold too few tasks even if all that is left of each
+// node, as counted by left, were free.
+func mayHold(domain []*node, req *request, left func(*node) resources) bool {
 	var tasks int64
 	for _, n := range domain {
 		if n.worker.Unavailable {
 			continue
 		}
-		if tasks += left(n).tasks(a.each); tasks >= a.tasks {
+		if tasks += left(n).tasks(req.perTask); tasks >= req.tasks {
 			return true
 		}
 	}
 	return false
 }
 
-// butFixed is a node's room without work that can't be preempted, butKept without what
-// is withheld for reservations.
-func butFixed(n *node) amount { return n.total.minus(n.fixed) }
-func butKept(n *node) amount  { return n.total.minus(n.kept) }
+// withoutNonPreemptible is a node's resources without those of work that can't be
+// preempted, withoutReserved without those withheld for reservations.
+func withoutNonPreemptible(n *node) resources { return n.total.minus(n.nonPreemptible) }
+func withoutReserved(n *node) resources       { return n.total.minus(n.reserved) }
 
-// prune keeps a victim only if the gang does not fit without it, the dearest
-// first.
-func (o *offer) prune(t *tally) {
-	slices.SortStableFunc(o.victims, func(x, y *gang) int { return cmp.Compare(y.lost, x.lost) })
+// prune keeps a victim only if the gang doesn't fit without it, the one with the most
+// lost work first.
+func (plan *preemptionPlan) prune(t *tally) {
+	slices.SortStableFunc(plan.victims, func(x, y *gang) int { return cmp.Compare(y.lostWork, x.lostWork) })
 	var needed []*gang
-	for _, g := range o.victims {
-		g.retake()
+	for _, g := range plan.victims {
+		g.unmarkReleasing()
 		t.recountGang(g)
 		if t.fits() {
 			continue
 		}
-		g.release()
+		g.markReleasing()
 		t.recountGang(g)
 		needed = append(needed, g)
 	}
-	o.victims = needed
+	plan.victims = needed
 }
 
 // candidates lists the preemptible gangs of a domain, cheapest first; some may have
-// been preempted since. The list is made once a pass: to sort all gangs for each urgent
-// ask would be most of the pass.
+// been preempted since. The list is made once for each pass: sorting all gangs for each
+// urgent request would take most of the pass.
 func (d *domain) candidates() []*gang {
 	if d.cheapest == nil {
 		d.cheapest = cheapestFirst(d.nodes)
@@ -192,98 +193,98 @@
 			if _, seen := gain[g]; !seen {
 				candidates = append(candidates, g)
 			}
-			gain[g] += 1 + float64(g.heldOn(n).accelerators)
+			gain[g] += 1 + float64(g.allocatedOn(n).accelerators)
 		}
 	}
 	slices.SortStableFunc(candidates, func(x, y *gang) int {
-		return cmp.Compare(x.lost/gain[x], y.lost/gain[y])
+		return cmp.Compare(x.lostWork/gain[x], y.lostWork/gain[y])
 	})
 	return candidates
 }
 
-func (g *gang) heldOn(n *node) amount {
-	for _, h := range g.held {
+func (g *gang) allocatedOn(n *node) resources {
+	for _, h := range g.allocations {
 		if h.node == n {
-			return h.amount
+			return h.resources
 		}
 	}
-	return amount{}
+	return resources{}
 }
 
-// mayStop tells whether a gang may be stopped for an ask, by the ask's right.
-func (p *pass) mayStop(a *ask, g *gang, t *tally, by right) bool {
-	own := g.customer == a.customer
-	switch by {
-	case rightUrgent:
+// mayPreempt reports whether a gang may be stopped for a request on the given grounds.
+func (p *pass) mayPreempt(req *request, g *gang, t *tally, grounds preemptionGrounds) bool {
+	own := g.customer == req.customer
+	switch grounds {
+	case groundsUrgency:
 		if g.job.Urgent {
-			return p.assured(a.job) && !p.assured(g.job)
+			return p.withinGuarantee(req.job) && !p.withinGuarantee(g.job)
 		}
 		return own || p.borrows(g, t)
-	case rightStarving:
-		younger := g.job.SubmittedMs > a.job.SubmittedMs
-		movable := g.job.Checkpointable && !g.job.Urgent && g.job.Attempts < mostAttempts
-		return younger && movable && (own || p.borrows(g, t))
+	case groundsLongWait:
+		younger := g.job.SubmittedMs > req.job.SubmittedMs
+		resumable := g.job.Checkpointable && !g.job.Urgent && g.job.Attempts < maxPreemptedAttempts
+		return younger && resumable && (own || p.borrows(g, t))
 	}
 	return !own && g.borrowsIn(t)
 }
 
-// borrows tells whether the gang's customer uses more than its guarantee. Its
-// work may run outside its cells while these are lent; stopping that would only
-// make the customer take its cells back from somebody else.
+// borrows reports whether the gang's customer uses more than its guarantee. Its work
+// may run outside its cells while these are lent; stopping that work would only make
+// the customer reclaim its cells from somebody else.
 func (p *pass) borrows(g *gang, t *tally) bool {
 	declared := p.snapshot.Customers[p.cluster.names[g.customer]]
-	beyond := g.job.Accelerators == 0 || p.used[g.customer] > guaranteed(declared)
+	beyond := g.job.Accelerators == 0 || p.used[g.customer] > guaranteedAccelerators(declared)
 	return beyond && g.borrowsIn(t)
 }
 
-// borrowsIn tells whether the gang uses more of some node of the domain than its
-// customer's cells there give it.
+// borrowsIn reports whether the gang uses more of some node of the domain than its
+// customer's cells there allow.
 func (g *gang) borrowsIn(t *tally) bool {
 	if g.job.Accelerators == 0 {
 		return true
 	}
-	for _, h := range g.held {
-		if t.has(h.node) && g.borrowsOn(h) {
+	for _, h := range g.allocations {
+		if t.contains(h.node) && g.borrowsOn(h) {
 			return true
 		}
 	}
 	return false
 }
 
-// borrowsOn compares what the customer uses preemptibly with what its fixed work
-// leaves of its cells: in accelerators, and for a gang that uses more cores or
-// memory than go with its accelerators in these too, since they make other
-// accelerators useless. A lighter gang is not at fault for what others of its
-// customer use; stopping it would help nobody, for it may start again at once.
-func (g *gang) borrowsOn(h holding) bool {
+// borrowsOn compares what the customer uses preemptibly with what its non-preemptible
+// work leaves of its cells. It compares accelerators and, for a gang that uses more
+// cores or memory than its share for its accelerators, these too, since they make other
+// accelerators unusable. A gang without such excess isn't charged with what other gangs
+// of its customer use; stopping it would help nobody, as it could start again at once.
+func (g *gang) borrowsOn(h allocation) bool {
 	n := h.node
-	used, fixed := of(n.usedBy, g.customer), of(n.fixedBy, g.customer)
-	lawful := max(0, of(n.cells, g.customer).accelerators-n.equivalents(fixed))
-	if used.accelerators-fixed.accelerators > lawful {
+	used, nonPreemptible := shareOf(n.usedBy, g.customer), shareOf(n.nonPreemptibleBy, g.customer)
+	entitled := max(0, shareOf(n.cells, g.customer).accelerators-n.acceleratorEquivalent(nonPreemptible))
+	if used.accelerators-nonPreemptible.accelerators > entitled {
 		return true
 	}
-	heavy := n.equivalents(h.amount) > h.amount.accelerators
-	return heavy && n.equivalents(used.minus(fixed)) > lawful
+	heavy := n.acceleratorEquivalent(h.resources) > h.resources.accelerators
+	return heavy && n.acceleratorEquivalent(used.minus(nonPreemptible)) > entitled
 }
 
-// release counts a gang's workers as ending, retake undoes it.
-func (g *gang) release() {
-	for _, h := range g.held {
-		h.node.endSoon(h.amount)
-		h.node.use(g.customer, amount{}.minus(h.amount), false)
+// markReleasing counts a gang's resources as being released; unmarkReleasing undoes it.
+func (g *gang) markReleasing() {
+	for _, h := range g.allocations {
+		h.node.addReleasing(h.resources)
+		h.node.use(g.customer, resources{}.minus(h.resources), false)
 	}
 }
 
-func (g *gang) retake() {
-	for _, h := range g.held {
-		h.node.endSoon(amount{}.minus(h.amount))
-		h.node.use(g.customer, h.amount, false)
+func (g *gang) unmarkReleasing() {
+	for _, h := range g.allocations {
+		h.node.addReleasing(resources{}.minus(h.resources))
+		h.node.use(g.customer, h.resources, false)
 	}
 }
 
 func (p *pass) preempt(g *gang) {
 	g.preempted = true
-	g.release()
+	g.markReleasing()
 	p.used[g.customer] -= int64(g.job.Tasks) * int64(g.job.Accelerators)
 	p.plan.Preemptions = append(p.plan.Preemptions, &controlpb.Preemption{Job: g.job.Id, Epoch: g.job.Epoch})
 }
--- a/internal/coordination/scheduling/tally.go
+++ b/internal/coordination/scheduling/tally.go
@@ -1,92 +1,96 @@
 package scheduling
 
-// domain is a group of nodes, in topology order, within which a gang or set is adjacent.
+// domain is a group of nodes, in topology order, within which a gang or set satisfies
+// its adjacency.
 type domain struct {
 	nodes []*node
-	// cheapest is what cheapestFirst gives, once asked for.
+	// cheapest caches the result of cheapestFirst.
 	cheapest []*gang
-	// tallies are kept from one ask to the next of the same kind.
+	// tallies are cached for further requests of the same kind.
 	tallies map[tallyKey]*tally
 }
 
-// tally counts the tasks that a domain takes, node by node. It is kept for the next ask
-// of its kind, and then looks only at the nodes that changed in between: counted afresh
-// for each urgent ask, a pass would grow with the square of the workers.
+// tally counts, node by node, the tasks that a domain can take. It is cached for the
+// next request of its kind, and then updated only for the nodes that changed in
+// between. With a full recount for each urgent request, the cost of a pass would grow
+// with the square of the number of workers.
 type tally struct {
-	ask  *ask
-	room room
-	// nodes are the cluster's from the domain's first to its last, tasks the count of
-	// each, or outside.
+	request  *request
+	capacity capacityFunc
+	// nodes are the cluster's from the domain's first to its last; tasks has the count
+	// of each, or notInDomain.
 	nodes []*node
 	tasks []int64
 	sum   int64
-	// seen is up to where the cluster's changes are counted in.
-	seen changeMark
+	// counted is the position up to which the cluster's changes are included.
+	counted changeMark
 }
 
-// outside marks a node between the domain's first and last that is not of the domain.
-const outside = -1
+// notInDomain marks a node between the domain's first and last that isn't part of the
+// domain.
+const notInDomain = -1
 
-// tallyKey is what the room of a node depends on beside the node itself.
+// tallyKey is what a node's capacity depends on besides the node itself.
 type tallyKey struct {
 	shape       shapeKey
 	spreadLimit uint32
-	// yields is set for work that leaves warm room to urgent work.
-	yields bool
+	// avoidsWarmNodes is set for work that leaves capacity kept warm to urgent work.
+	avoidsWarmNodes bool
 }
 
-func (a *ask) tallyKey() tallyKey {
-	return tallyKey{a.waitKey(), a.job.SpreadLimit, a.yieldsWarmRoom()}
+func (req *request) tallyKey() tallyKey {
+	return tallyKey{req.waitKey(), req.job.SpreadLimit, req.avoidsWarmNodes()}
 }
 
-// tally counts the domain for an ask. The same room must be asked for in all calls.
-func (d *domain) tally(c *cluster, a *ask, room room) *tally {
-	key := a.tallyKey()
-	t, kept := d.tallies[key]
-	if !kept {
-		t = newTally(c, d, room)
+// tally returns the up-to-date count of the domain for a request. All calls must use
+// the same capacity function.
+func (d *domain) tally(c *cluster, req *request, capacity capacityFunc) *tally {
+	key := req.tallyKey()
+	t, cached := d.tallies[key]
+	if !cached {
+		t = newTally(c, d, capacity)
 		if d.tallies == nil {
 			d.tallies = map[tallyKey]*tally{}
 		}
 		d.tallies[key] = t
 	}
-	t.ask = a
-	if changed, known := c.changes.since(t.seen); kept && known && len(changed) < len(d.nodes) {
+	t.request = req
+	if changed, known := c.changes.since(t.counted); cached && known && len(changed) < len(d.nodes) {
 		t.recount(changed)
 	} else {
 		t.recount(d.nodes)
 	}
-	t.seen = c.changes.now()
+	t.counted = c.changes.mark()
 	return t
 }
 
-func newTally(c *cluster, d *domain, room room) *tally {
-	first, last := d.nodes[0].at, d.nodes[len(d.nodes)-1].at
-	t := &tally{room: room, nodes: c.nodes[first : last+1], tasks: make([]int64, last+1-first)}
+func newTally(c *cluster, d *domain, capacity capacityFunc) *tally {
+	first, last := d.nodes[0].index, d.nodes[len(d.nodes)-1].index
+	t := &tally{capacity: capacity, nodes: c.nodes[first : last+1], tasks: make([]int64, last+1-first)}
 	if len(t.nodes) == len(d.nodes) {
 		return t
 	}
 	for i := range t.tasks {
-		t.tasks[i] = outside
+		t.tasks[i] = notInDomain
 	}
 	for _, n := range d.nodes {
-		t.tasks[n.at-first] = 0
+		t.tasks[n.index-first] = 0
 	}
 	return t
 }
 
-// count gives the place of a node's count, or nil if it is not of the domain.
+// count returns a pointer to a node's count, or nil if the node isn't in the domain.
 func (t *tally) count(n *node) *int64 {
-	i := n.at - t.nodes[0].at
-	if i < 0 || i >= len(t.tasks) || t.tasks[i] == outside {
+	i := n.index - t.nodes[0].index
+	if i < 0 || i >= len(t.tasks) || t.tasks[i] == notInDomain {
 		return nil
 	}
 	return &t.tasks[i]
 }
 
-func (t *tally) has(n *node) bool { return t.count(n) != nil }
+func (t *tally) contains(n *node) bool { return t.count(n) != nil }
 
-func (t *tally) fits() bool { return t.sum >= t.ask.tasks }
+func (t *tally) fits() bool { return t.sum >= t.request.tasks }
 
 func (t *tally) recount(nodes []*node) {
 	for _, n := range nodes {
@@ -95,7 +99,7 @@
 }
 
 func (t *tally) recountGang(g *gang) {
-	for _, h := range g.held {
+	for _, h := range g.allocations {
 		t.recountNode(h.node)
 	}
 }
@@ -106,18 +110,18 @@
 		return
 	}
 	before := *count
-	*count = t.room(n, t.ask)
+	*count = t.capacity(n, t.request)
 	t.sum += *count - before
 }
 
-// spots places the whole ask, which fits. It allocates for the nodes that have room only:
-// in a busy cluster they are few.
-func (t *tally) spots() []spot {
-	var candidates []spot
+// placement places the whole request, which must fit. It allocates only for the nodes
+// that have capacity; in a busy cluster these are few.
+func (t *tally) placement() []nodeTasks {
+	var candidates []nodeTasks
 	for i, tasks := range t.tasks {
 		if tasks > 0 {
-			candidates = append(candidates, spot{t.nodes[i], tasks})
+			candidates = append(candidates, nodeTasks{t.nodes[i], tasks})
 		}
 	}
-	return tightest(candidates, t.ask.tasks)
+	return tightestFit(candidates, t.request.tasks)
 }
--- a/internal/coordination/scheduling/verify.go
+++ b/internal/coordination/scheduling/verify.go
@@ -7,22 +7,22 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// BreachKind names a broken invariant.
+// BreachKind identifies a violated invariant.
 type BreachKind string
 
 // The invariants of a plan.
 const (
-	BreachGang       BreachKind = "gang_not_whole"
-	BreachAdjacency  BreachKind = "gang_not_adjacent"
-	BreachTwice      BreachKind = "accelerator_given_twice"
-	BreachOverfull   BreachKind = "worker_overfull"
-	BreachUnknown    BreachKind = "worker_unknown_or_unavailable"
-	BreachCell       BreachKind = "cell_not_takeable"
-	BreachCellShape  BreachKind = "cell_not_of_its_shape"
-	BreachCellMissed BreachKind = "guarantee_without_cell"
+	BreachIncompleteGang     BreachKind = "gang_not_whole"
+	BreachAdjacency          BreachKind = "gang_not_adjacent"
+	BreachDoubleAllocation   BreachKind = "accelerator_given_twice"
+	BreachOvercommit         BreachKind = "worker_overfull"
+	BreachUnusableWorker     BreachKind = "worker_unknown_or_unavailable"
+	BreachCellNotReclaimable BreachKind = "cell_not_takeable"
+	BreachCellShape          BreachKind = "cell_not_of_its_shape"
+	BreachMissingCell        BreachKind = "guarantee_without_cell"
 )
 
-// Breach is an invariant that a plan would break.
+// Breach is an invariant that a plan would violate.
 type Breach struct {
 	Kind     BreachKind
 	Job      string
@@ -30,26 +30,26 @@
 	Customer string
 }
 
-// Error describes the breach.
+// Error describes the violation.
 func (b *Breach) Error() string {
-	return fmt.Sprintf("plan breaks %s: job %q worker %q customer %q", b.Kind, b.Job, b.Worker, b.Customer)
+	return fmt.Sprintf("plan violates invariant %s: job %q, worker %q, customer %q", b.Kind, b.Job, b.Worker, b.Customer)
 }
 
-// Verify checks a plan against its snapshot, once over what runs: every gang
-// whole and adjacent, no accelerator given twice, no worker overfull, and cells
-// that hold every guarantee but the unmet ones and can all be taken back at
-// once. It counts afresh, apart from the index that the plan was made with, so
-// that a fault there is caught: its symptom would be a customer who can't get
-// its guarantee back. It returns nil for a sound plan.
+// Verify checks a plan against its snapshot, in one pass over the running and assigned
+// work: every gang is complete and adjacent, no accelerator is allocated twice, no
+// worker is overcommitted, and the cells hold every guarantee but the unmet ones and
+// can all be reclaimed at once. It counts anew, without the index that the plan was
+// made with, in order to catch faults of that index: their symptom would be a customer
+// who can't get its guarantee back. It returns nil for a valid plan.
 func Verify(snapshot *Snapshot, plan *Plan) *Breach {
-	c := newCluster(concerned(snapshot, plan))
+	c := newCluster(affectedWorkers(snapshot, plan))
 	waiting := map[string]*controlpb.Job{}
 	for _, job := range snapshot.Jobs {
 		if job.State == controlpb.JobState_JOB_STATE_WAITING {
 			waiting[job.Id] = job
 		}
 		if len(job.Placements) > 0 {
-			c.hold(job)
+			c.addGang(job)
 		}
 	}
 	for _, assignment := range plan.Assignments {
@@ -60,9 +60,9 @@
 	return c.verifyCells(snapshot, plan)
 }
 
-// concerned lists the workers that the plan puts work on or keeps cells on: the
-// others are as they were.
-func concerned(snapshot *Snapshot, plan *Plan) []Worker {
+// affectedWorkers lists the workers on which the plan places work or cells; the others
+// don't change.
+func affectedWorkers(snapshot *Snapshot, plan *Plan) []Worker {
 	named := map[string]bool{}
 	for _, assignment := range plan.Assignments {
 		for _, placement := range assignment.Placements {
@@ -79,7 +79,7 @@
 
 func (c *cluster) verifyAssignment(job *controlpb.Job, assignment *controlpb.Assignment) *Breach {
 	if job == nil || len(assignment.Placements) != int(max(job.Tasks, 1)) {
-		return &Breach{Kind: BreachGang, Job: assignment.Job}
+		return &Breach{Kind: BreachIncompleteGang, Job: assignment.Job}
 	}
 	placed := &controlpb.Job{
 		Customer: job.Customer, Cores: job.Cores, CoresMilli: job.CoresMilli, MemoryMb: job.MemoryMb,
@@ -90,9 +90,9 @@
 			return breach
 		}
 		placed.Placements = []*controlpb.Placement{placement}
-		c.hold(placed)
+		c.addGang(placed)
 		if c.byID[placement.Worker].free.negative() {
-			return &Breach{Kind: BreachOverfull, Job: job.Id, Worker: placement.Worker}
+			return &Breach{Kind: BreachOvercommit, Job: job.Id, Worker: placement.Worker}
 		}
 	}
 	return nil
@@ -101,26 +101,26 @@
 func (c *cluster) verifyPlacement(job *controlpb.Job, assignment *controlpb.Assignment, placement *controlpb.Placement) *Breach {
 	n, ok := c.byID[placement.Worker]
 	if !ok || n.worker.Unavailable {
-		return &Breach{Kind: BreachUnknown, Job: job.Id, Worker: placement.Worker}
+		return &Breach{Kind: BreachUnusableWorker, Job: job.Id, Worker: placement.Worker}
 	}
 	if len(placement.Accelerators) != int(job.Accelerators) {
-		return &Breach{Kind: BreachGang, Job: job.Id, Worker: placement.Worker}
+		return &Breach{Kind: BreachIncompleteGang, Job: job.Id, Worker: placement.Worker}
 	}
-	if !near(c.byID[assignment.Placements[0].Worker], n, job.Adjacency) {
+	if !withinAdjacency(c.byID[assignment.Placements[0].Worker], n, job.Adjacency) {
 		return &Breach{Kind: BreachAdjacency, Job: job.Id, Worker: placement.Worker}
 	}
-	free := n.numbers
+	free := n.freeMask
 	for _, number := range placement.Accelerators {
 		if number >= maxAccelerators || free&(1<<number) == 0 {
-			return &Breach{Kind: BreachTwice, Job: job.Id, Worker: placement.Worker}
+			return &Breach{Kind: BreachDoubleAllocation, Job: job.Id, Worker: placement.Worker}
 		}
 		free &^= 1 << number
 	}
 	return nil
 }
 
-// verifyCells checks that each guaranteed set has a cell of its shape or is
-// said to be unmet, and that each node gives back all its cells at once.
+// verifyCells checks that each guaranteed set has a cell of its shape or is reported as
+// unmet, and that all cells of each node can be reclaimed at once.
 func (c *cluster) verifyCells(snapshot *Snapshot, plan *Plan) *Breach {
 	sets := map[cellKey]guaranteedSet{}
 	for _, set := range (&pass{snapshot: snapshot, cluster: c}).guaranteedSets() {
@@ -130,7 +130,7 @@
 		cell := &plan.Cells[i]
 		key := cellKey{c.customer(cell.Customer), cell.Set}
 		set, declared := sets[key]
-		if !declared || !c.keepDeclared(set, cell) {
+		if !declared || !c.addDeclaredCell(set, cell) {
 			return &Breach{Kind: BreachCellShape, Customer: cell.Customer}
 		}
 		delete(sets, key)
@@ -139,17 +139,17 @@
 		delete(sets, cellKey{c.customer(unmet.Customer), unmet.Set})
 	}
 	for key := range sets {
-		return &Breach{Kind: BreachCellMissed, Customer: c.names[key.customer]}
+		return &Breach{Kind: BreachMissingCell, Customer: c.names[key.customer]}
 	}
 	for _, n := range c.nodes {
-		if !n.cellsWhole() {
-			return &Breach{Kind: BreachCell, Worker: n.worker.ID, Customer: c.names[n.cells[0].customer]}
+		if !n.cellsReclaimable() {
+			return &Breach{Kind: BreachCellNotReclaimable, Worker: n.worker.ID, Customer: c.names[n.cells[0].customer]}
 		}
 	}
 	return nil
 }
 
-func (c *cluster) keepDeclared(set guaranteedSet, cell *Cell) bool {
+func (c *cluster) addDeclaredCell(set guaranteedSet, cell *Cell) bool {
 	var parts []cellShare
 	var sum int64
 	for _, part := range cell.Parts {
