--- a/internal/coordination/dispatch/gang/bench_test.go
+++ b/internal/coordination/dispatch/gang/bench_test.go
@@ -10,8 +10,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// full is the planned size: 1,900 workers with ten tasks each, in 300 jobs.
-func full(workers, tasksEach, jobs int) *gang.Input {
+// fullInput returns an input in which every worker runs tasksEach tasks of running jobs.
+// The system is planned for 1,900 workers with ten tasks each, in 300 jobs.
+func fullInput(workers, tasksEach, jobs int) *gang.Input {
 	in := &gang.Input{Now: epochStart, Quarantined: func(string) bool { return false }}
 	for j := range jobs {
 		in.Jobs = append(in.Jobs, &controlpb.Job{
@@ -33,12 +34,12 @@
 	return in
 }
 
-// BenchmarkStep is one second of steps, ten, in which every worker announces
-// itself once, as a leader of a running system takes them.
+// BenchmarkStep measures ten steps, which a leader takes in one second. In them every
+// worker announces itself once.
 func BenchmarkStep(b *testing.B) {
 	for _, size := range []struct{ workers, tasks, jobs int }{{50, 8, 40}, {475, 10, 75}, {950, 10, 150}, {1900, 10, 300}} {
 		b.Run(fmt.Sprintf("workers=%d,tasks=%d", size.workers, size.workers*size.tasks), func(b *testing.B) {
-			in := full(size.workers, size.tasks, size.jobs)
+			in := fullInput(size.workers, size.tasks, size.jobs)
 			machine := gang.New(config)
 			machine.Step(in)
 			b.ReportAllocs()
@@ -46,8 +47,8 @@
 				for tick := range 10 {
 					in.Now = in.Now.Add(100 * time.Millisecond)
 					for i := tick; i < len(in.Workers); i += 10 {
-						again := &peerpb.Upstream{Id: in.Workers[i].Id, Incarnation: 1, Version: in.Workers[i].Version + 1, Tasks: in.Workers[i].Tasks}
-						in.Workers[i] = again
+						announcement := &peerpb.Upstream{Id: in.Workers[i].Id, Incarnation: 1, Version: in.Workers[i].Version + 1, Tasks: in.Workers[i].Tasks}
+						in.Workers[i] = announcement
 					}
 					machine.Step(in)
 				}
--- a/internal/coordination/dispatch/gang/cutoff_test.go
+++ b/internal/coordination/dispatch/gang/cutoff_test.go
@@ -8,14 +8,14 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// A healthy worker that lost its tasks because the instance it announced itself to was
-// cut off, and answered all the same.
+// Workers must turn to another instance when theirs is partitioned from the log but still
+// answers. Otherwise their leases are not renewed and healthy workers lose their tasks.
 func TestWorkersBehindACutOffInstanceKeepTheirGang(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(3, &controlpb.Job{RunTimeMs: 60000})
-	m.other = &entry{clock: steady(), state: m.state}
+	m := newGangModel(3, &controlpb.Job{RunTimeMs: 60000})
+	m.otherInstance = &followerInstance{clock: exactClock(), state: m.state}
 	m.untilState(t, running)
-	m.entry.cut = true
+	m.instance.partitioned = true
 	m.untilState(t, completed)
 	is.Equal(m.job().Epoch, uint64(1))
 }
--- a/internal/coordination/dispatch/gang/lease.go
+++ b/internal/coordination/dispatch/gang/lease.go
@@ -6,65 +6,68 @@
 	"pinewinch.example/pinewinch/internal/protocol/api"
 )
 
-// Config of the decisions. Every instance must have the same Lease,
-// FreshnessBound and AnnounceEvery: StopWait is derived from them.
+// Config holds the timing parameters of a Machine. Lease, FreshnessBound and
+// AnnounceEvery must be the same on every instance: StopWait is derived from them.
 type Config struct {
-	// Lease is how long a worker may run a task after it sent the announcement
-	// that was answered with a renewal.
+	// Lease is how long a worker may run a task, counted from when it sent the
+	// announcement that was answered with the renewal.
 	Lease time.Duration
-	// FreshnessBound is the oldest control state on which an instance renews a
-	// lease, and the oldest confirmation on which a leader sends a command.
+	// FreshnessBound is the maximum age of the control state from which an instance
+	// renews a lease, and of the leadership confirmation on which a leader sends a
+	// command.
 	FreshnessBound time.Duration
-	// AnnounceEvery is how often a worker announces itself.
+	// AnnounceEvery is the interval between the announcements of a worker.
 	AnnounceEvery time.Duration
-	// StallAfter is how long the work of a running task may stand still; 0 where
-	// workers report no progress.
+	// StallAfter is how long the progress of a running task may stay unchanged before
+	// the task counts as stalled; 0 turns the check off, for workers that report no
+	// progress.
 	StallAfter time.Duration
-	// CommandTimeout bounds one command to a worker.
+	// CommandTimeout is the time limit of one command to a worker.
 	CommandTimeout time.Duration
 }
 
 const (
-	// maxDrift is how much faster or slower than real time a clock may run: 1%,
-	// twenty times what clock discipline allows itself (500 parts per million).
+	// maxDrift is the largest assumed rate error of a clock: 1%, which is twenty
+	// times the frequency correction that clock discipline allows, 500 ppm.
 	maxDrift = 0.01
-	// delivery is how long a batch of the followed log may be on its way after its
-	// age was written into it.
-	delivery = time.Second
-	// enforcement is how long a worker may take from the end of a lease to the end
-	// of the task.
-	enforcement = 500 * time.Millisecond
+	// maxLogDelay limits the time in transit of a batch of the replicated log after
+	// its age was written into it.
+	maxLogDelay = time.Second
+	// maxEnforcementDelay limits the time a worker takes to end a task after the
+	// task's lease has expired.
+	maxEnforcementDelay = 500 * time.Millisecond
 )
 
-// StopWait is how long after the commit of STOPPING, by the leader's clock, the
-// lease of a member that did not acknowledge has surely run out. Who led at the
-// commit plays no part, so a replica that had applied it by then may count from there.
+// StopWait is the time after the commit of STOPPING, on the leader's clock, by which
+// the lease of a member that did not acknowledge the stop has certainly expired. It
+// does not depend on which instance led at the commit, so a replica may count it from
+// when it applied the commit.
 //
-// Let c be the commit. An instance that renews at e holds a state without the
-// stop, and that state was confirmed no more than FreshnessBound before e by the
-// instance's clock; what was confirmed after c has the stop. So
-// e < c + FreshnessBound/(1-maxDrift) + delivery. A renewal answers an
-// announcement that was sent before e, and the worker counts the lease from its
-// sending, so the last lease ends before e + Lease/(1-maxDrift) + enforcement.
-// How late the answer arrives does not matter.
+// Let c be the time of the commit. An instance that renews a lease at time e has a
+// state without the stop, confirmed at most FreshnessBound before e on that
+// instance's clock; any state confirmed after c contains the stop. Hence
+// e < c + FreshnessBound/(1-maxDrift) + maxLogDelay. The renewal answers an
+// announcement sent before e, and the worker counts the lease from when it sent the
+// announcement, so the last lease ends before
+// e + Lease/(1-maxDrift) + maxEnforcementDelay, however late the answer arrives.
 //
-// A command of this leader before c, or of a deposed one, is bounded alike: the
-// sender notes the worker's newest announcement first, then checks that its
-// leadership was confirmed within FreshnessBound, then sends; the worker counts
-// the lease from that announcement. A command held back by a frozen sender or by
-// the network arrives with its lease spent.
+// A command sent before c by this leader or by a deposed one has the same bound: the
+// sender first reads the worker's newest announcement, then checks that its
+// leadership was confirmed within FreshnessBound, then sends; the worker counts the
+// lease from that announcement. A command delayed by a paused sender or by the
+// network arrives with its lease expired.
 //
-// The leader's own clock may run fast, so it waits (1+maxDrift) times the sum.
+// The leader's clock may run fast, so the sum is multiplied by 1+maxDrift.
 func (c Config) StopWait() time.Duration {
-	held := float64(c.FreshnessBound+c.Lease)/(1-maxDrift) + float64(delivery+enforcement)
-	return time.Duration((1 + maxDrift) * held)
+	leaseBound := float64(c.FreshnessBound+c.Lease)/(1-maxDrift) + float64(maxLogDelay+maxEnforcementDelay)
+	return time.Duration((1 + maxDrift) * leaseBound)
 }
 
-// grace is how long a member may be unheard of without being taken as vanished,
-// when the leader cannot tell an absent worker from one it has not heard yet:
-// the life of an announcement.
-func (c Config) grace() time.Duration { return api.AnnouncementsMissed * c.AnnounceEvery }
+// announcementTTL is how long an announcement stays valid. A member counts as vanished
+// only after it was missing for this long, because a leader cannot tell an absent
+// worker from one whose announcement has not reached it yet.
+func (c Config) announcementTTL() time.Duration { return api.AnnouncementsMissed * c.AnnounceEvery }
 
-// startTimeout bounds a gang's start: each member gets two commands, and a new
-// leader may have to hear of the workers first.
-func (c Config) startTimeout() time.Duration { return 2*c.CommandTimeout + c.grace() }
+// startTimeout is the time limit of the start of a gang: two commands to each member (reserve and
+// start), plus the time in which a new leader receives the workers' announcements.
+func (c Config) startTimeout() time.Duration { return 2*c.CommandTimeout + c.announcementTTL() }
--- a/internal/coordination/dispatch/gang/machine.go
+++ b/internal/coordination/dispatch/gang/machine.go
@@ -1,11 +1,12 @@
-// Package gang decides what to command and what to record so that a job's gang
-// runs as a whole or not at all. It is pure: states, announcements and answers
-// in, commands and moves out, with time as an argument.
+// Package gang implements gang scheduling of a job's tasks: all members of a gang run,
+// or none does. It is a deterministic state machine without I/O. Its inputs are the
+// committed control state, the workers' announcements, the answers to commands and the
+// time; its outputs are commands to workers and state changes to commit.
 //
-// What it remembers can be lost at any moment. All that matters for safety is in
-// the log (state, epoch, acknowledged stops) or at the workers (leases, newest
-// epochs). A new leader keeps of the terms before only since when it has known of
-// each stop, which it learns by following the log: see Machine.NextTerm.
+// Its memory may be lost at any time. Everything that safety depends on is in the log
+// (state, epoch, acknowledged stops) or at the workers (leases, newest epochs). All
+// that a new leader keeps from before its term is the time at which it learned of each
+// stop from the log: see Machine.NextTerm.
 package gang
 
 import (
@@ -17,17 +18,18 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// Kind of a command to a worker.
+// Kind is the kind of a command to a worker.
 type Kind int
 
-// The kinds.
+// Kinds of commands. The zero value means no command.
 const (
 	Reserve Kind = iota + 1
 	Start
 	Stop
 )
 
-// Command is to be sent to one worker, once; its Answer is expected in any case.
+// Command is sent once to one worker. Each command must be followed by an Answer, also
+// if it could not be sent.
 type Command struct {
 	Kind    Kind
 	Worker  string
@@ -35,7 +37,7 @@
 	Task    api.TaskCommand
 }
 
-// Answer is what became of a command; Err is nil where the worker obeyed.
+// Answer is the outcome of a command. Err is nil if the worker carried it out.
 type Answer struct {
 	Kind           Kind
 	Ref            api.TaskRef
@@ -46,52 +48,54 @@
 	Err            *failure.Error
 }
 
-// Input is what one step decides from.
+// Input is the input of one step.
 type Input struct {
 	Now time.Time
-	// Jobs are the active jobs of the newest committed state.
+	// Jobs are the active jobs of the latest committed state.
 	Jobs []*controlpb.Job
-	// Workers are those whose announcement stands.
+	// Workers are the workers whose announcement has not expired.
 	Workers []*peerpb.Upstream
-	// Answers came since the last step.
+	// Answers are those received since the previous step.
 	Answers []Answer
-	// Quarantined tells the workers that are not healthy.
+	// Quarantined reports whether a worker is in quarantine as unhealthy.
 	Quarantined func(worker string) bool
-	// LeaseOver tells that nothing can still run on a worker that does not answer.
-	// It is nil where workers renew leases by their announcements: then StopWait
-	// bounds them.
+	// LeaseOver reports whether the lease of a worker that does not answer has expired,
+	// so that none of its tasks can still be running. It is nil if workers renew their
+	// leases by announcements; Config.StopWait bounds those leases.
 	LeaseOver func(worker string) bool
 }
 
-// Output is what a step wants done: commands may be sent at once, Batch is to be
-// committed in one entry. An empty batch is nil.
+// Output is the result of a step. Commands may be sent immediately; Batch is to be
+// committed in one log entry and is nil if there is nothing to commit.
 type Output struct {
 	Commands []Command
 	Batch    *controlpb.BatchMove
 }
 
-// Machine drives every active job of the control state.
+// Machine drives the gangs of all active jobs of the control state.
 type Machine struct {
-	config  Config
-	leading time.Time
-	scanned time.Time
-	steps   uint64
-	runs    map[string]*run
-	workers map[string]*worker
-	stops   stops
+	config       Config
+	leadingSince time.Time
+	lastScan     time.Time
+	stepCount    uint64
+	runs         map[string]*run
+	workers      map[string]*worker
+	stops        stops
 }
 
-// worker is a live worker's newest announcement.
+// worker holds the newest announcement of a live worker.
 type worker struct {
 	upstream *peerpb.Upstream
-	// heard is when the announcement came; zero where it stood already when this
-	// machine began, and may be of any age.
-	heard time.Time
-	// step is the last one in which the announcement stood.
-	step uint64
+	// receivedAt is when the announcement was received. It is zero for an announcement
+	// that was already in the registry when this machine was created: its age is
+	// unknown.
+	receivedAt time.Time
+	// lastStep is the number of the last step whose input had the announcement.
+	lastStep uint64
 }
 
-// newerThan orders the announcements of one worker by start and version.
+// newerThan reports whether announcement a of a worker is newer than b, by incarnation
+// and then by version.
 func newerThan(a, b *peerpb.Upstream) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -99,23 +103,25 @@
 	return a.Version > b.Version
 }
 
-// New makes a machine of an instance that knows nothing yet.
+// New returns a machine without any recorded state.
 func New(config Config) *Machine {
 	return &Machine{config: config, runs: map[string]*run{}, workers: map[string]*worker{}, stops: stops{}}
 }
 
-// NextTerm makes the machine for a new term of leadership of the same instance.
+// NextTerm returns the machine for a new leadership term of the same instance. It keeps
+// only when this instance learned of each stop.
 func (m *Machine) NextTerm() *Machine {
 	next := New(m.config)
 	next.stops = m.stops
 	return next
 }
 
-// Follow takes note of the active jobs of the newest committed state while this
-// instance does not lead.
-func (m *Machine) Follow(now time.Time, jobs []*controlpb.Job) { m.stops = m.stops.upTo(now, jobs) }
+// Follow records which of the active jobs of the latest committed state are being
+// stopped. It is called while this instance is not the leader.
+func (m *Machine) Follow(now time.Time, jobs []*controlpb.Job) { m.stops = m.stops.observe(now, jobs) }
 
-// step carries one Step's input and output through the machine.
+// step is the context of one call of Step. scan is set if members are checked for
+// absence and stalls in this step.
 type step struct {
 	*Machine
 	in   *Input
@@ -123,15 +129,15 @@
 	scan bool
 }
 
-// Step decides once for all that is known.
+// Step processes the input and returns the commands and state changes that follow.
 func (m *Machine) Step(in *Input) *Output {
 	s := &step{Machine: m, in: in, out: &Output{}}
 	s.begin()
 	if in.LeaseOver == nil {
 		s.Follow(in.Now, in.Jobs)
 	}
-	s.hearWorkers()
-	s.hearAnswers()
+	s.readAnnouncements()
+	s.applyAnswers()
 	tracked := make(map[string]*run, len(in.Jobs))
 	for _, job := range in.Jobs {
 		if len(job.Placements) == 0 {
@@ -139,95 +145,97 @@
 		}
 		r := s.track(job)
 		tracked[job.Id] = r
-		s.drive(job, r)
+		s.advanceJob(job, r)
 	}
 	m.runs = tracked
 	return s.out
 }
 
-// begin notes the start of leadership, and whether members are looked over for
-// absence in this step: once an announcement interval is enough for that.
+// begin records the start of the leadership term and decides whether this step scans
+// the members for absence and stalls, which is done once per announcement interval.
 func (s *step) begin() {
-	s.steps++
-	if s.leading.IsZero() {
-		s.leading = s.in.Now
+	s.stepCount++
+	if s.leadingSince.IsZero() {
+		s.leadingSince = s.in.Now
 	}
-	if s.in.Now.Sub(s.scanned) >= s.config.AnnounceEvery {
-		s.scanned = s.in.Now
+	if s.in.Now.Sub(s.lastScan) >= s.config.AnnounceEvery {
+		s.lastScan = s.in.Now
 		s.scan = true
 	}
 }
 
-// hearWorkers takes in announcements. Only those that are new are read: a leader
-// with 19,000 tasks hears a tenth of them each step.
-func (s *step) hearWorkers() {
+// readAnnouncements updates the known workers. Only announcements that changed since the
+// previous step are read: of 19,000 tasks, about a tenth are announced in each step.
+func (s *step) readAnnouncements() {
 	for _, upstream := range s.in.Workers {
 		known := s.workers[upstream.Id]
 		if known == nil {
 			known = &worker{}
 			s.workers[upstream.Id] = known
 		}
-		known.step = s.steps
+		known.lastStep = s.stepCount
 		if known.upstream != upstream {
-			s.hearWorker(known, upstream)
+			s.readAnnouncement(known, upstream)
 		}
 	}
 	if len(s.workers) == len(s.in.Workers) {
 		return
 	}
 	for id, known := range s.workers {
-		if known.step != s.steps {
+		if known.lastStep != s.stepCount {
 			delete(s.workers, id)
 		}
 	}
 }
 
-func (s *step) hearWorker(known *worker, upstream *peerpb.Upstream) {
-	before := known.upstream
+func (s *step) readAnnouncement(known *worker, upstream *peerpb.Upstream) {
+	previous := known.upstream
 	known.upstream = upstream
-	if before == nil && s.knowsWorkers() || before != nil && newerThan(upstream, before) {
-		known.heard = s.in.Now
+	if previous == nil && s.announcementsComplete() || previous != nil && newerThan(upstream, previous) {
+		known.receivedAt = s.in.Now
 	}
-	s.hearReports(upstream)
+	s.applyReports(upstream)
 }
 
-// mayLease tells whether the worker's newest announcement is young enough for a
-// command to give a lease from it. While an instance does not lead, it is not told
-// of announcements that say nothing new: the one that it holds of an idle worker
-// may be older than any lease. Its worker would refuse the first commands of a new
-// leader, and the gang would count a failed attempt; the next announcement comes
-// within an interval. Workers without leases of their own need none.
-func (s *step) mayLease(w *worker) bool {
-	return s.in.LeaseOver != nil || s.lately(w, s.in.Now)
+// canGrantLease reports whether the worker's newest announcement is recent enough for a
+// command to grant a lease that counts from it. An instance that is not the leader
+// receives no announcements without changes, so the one that it has of an idle worker
+// may be older than any lease. The worker would refuse the first commands of a new
+// leader, which would count as a failed attempt of the gang; the next announcement
+// arrives within one interval. Workers that do not renew leases by announcements need
+// no recent one.
+func (s *step) canGrantLease(w *worker) bool {
+	return s.in.LeaseOver != nil || s.announcedWithinLease(w, s.in.Now)
 }
 
-// lately tells whether the worker's newest announcement came in this leadership, less
-// than a lease ago.
-func (m *Machine) lately(w *worker, now time.Time) bool {
-	return !w.heard.IsZero() && now.Sub(w.heard) < m.config.Lease
+// announcedWithinLease reports whether the worker's newest announcement was received in this
+// leadership term, less than one lease duration ago.
+func (m *Machine) announcedWithinLease(w *worker, now time.Time) bool {
+	return !w.receivedAt.IsZero() && now.Sub(w.receivedAt) < m.config.Lease
 }
 
-// Heard tells whether a worker that renews its leases by announcements has been heard in
-// this leadership, lately.
+// Heard reports whether an announcement of the worker was received in this leadership
+// term, less than one lease duration ago. It is meant for workers that renew their
+// leases by announcements.
 func (m *Machine) Heard(id string, now time.Time) bool {
 	known := m.workers[id]
-	return known != nil && m.lately(known, now)
+	return known != nil && m.announcedWithinLease(known, now)
 }
 
-func (s *step) hearReports(upstream *peerpb.Upstream) {
+func (s *step) applyReports(upstream *peerpb.Upstream) {
 	for _, report := range upstream.Tasks {
 		r := s.runs[report.Job]
 		if r == nil || r.epoch != report.Epoch {
 			continue
 		}
 		m := r.member(report.Task)
-		if m != nil && m.placement.Worker == upstream.Id && m.hear(report, upstream, s.in.Now) {
-			r.news = true
+		if m != nil && m.placement.Worker == upstream.Id && m.applyReport(report, upstream, s.in.Now) {
+			r.changed = true
 		}
 	}
 }
 
-// reportOf finds a task in its worker's announcement; nil where it has none.
+// reportOf returns the report on a task in the worker's announcement, or nil.
 func (w *worker) reportOf(job string, epoch uint64, task uint32) *peerpb.TaskReport {
 	for _, report := range w.upstream.Tasks {
 		if report.Task == task && report.Epoch == epoch && report.Job == job {
@@ -237,20 +245,20 @@
 	return nil
 }
 
-func (s *step) hearAnswers() {
+func (s *step) applyAnswers() {
 	for _, answer := range s.in.Answers {
 		r := s.runs[answer.Ref.Job]
 		if r == nil || r.epoch != answer.Ref.Epoch {
 			continue
 		}
 		if m := r.member(answer.Ref.Task); m != nil && m.awaiting == answer.Kind {
-			m.take(&answer, s.in.Now)
-			r.news = true
+			m.applyAnswer(&answer, s.in.Now)
+			r.changed = true
 		}
 	}
 }
 
-func (s *step) drive(job *controlpb.Job, r *run) {
+func (s *step) advanceJob(job *controlpb.Job, r *run) {
 	switch job.State {
 	case controlpb.JobState_JOB_STATE_STARTING:
 		s.starting(job, r)
@@ -293,7 +301,8 @@
 	})
 }
 
-// wholeCores is what a task may use, rounded up: these workers count whole cores.
+// wholeCores returns the CPU cores that a task may use, rounded up: these workers
+// account for whole cores only.
 func wholeCores(job *controlpb.Job) uint32 {
 	const milliPerCore = 1000
 	return job.Cores + (job.CoresMilli+milliPerCore-1)/milliPerCore
--- a/internal/coordination/dispatch/gang/model_test.go
+++ b/internal/coordination/dispatch/gang/model_test.go
@@ -19,27 +19,30 @@
 
 var epochStart = time.Unix(1_800_000_000, 0)
 
-// model is a real state, a leader, one entry instance and workers with real
-// tables of tasks; every message between them waits until a test delivers it.
-// Each has a clock of its own, up to 1% fast or slow.
+// model simulates a leader, an instance that workers announce themselves to, and workers,
+// with the production implementations of the control state and the task tables. Each
+// message between them is held until a test delivers it. Each participant has its own
+// clock, which runs up to 1% fast or slow.
 type model struct {
-	real    time.Duration
+	elapsed time.Duration
 	state   *store.State
 	leader  *leader
 	deposed *leader
-	// standby follows the log, to lead next.
-	standby *leader
-	entry   entry
-	// other is an instance that workers turn to when they are asked to; nil for none.
-	other    *entry
-	workers  []*workerModel
-	commands []flight
-	notices  []notice
-	replies  []answered
-	reserved map[api.TaskRef]bool
-	// before runs ahead of each delivery of a command and may change its fate.
-	before func(arrives, answered bool) (bool, bool)
-	// completions holds the runs of each task that ended well.
+	// standby follows the log and becomes the next leader.
+	standby  *leader
+	instance followerInstance
+	// otherInstance is the instance that workers switch to when an answer has TryOther;
+	// nil for none.
+	otherInstance *followerInstance
+	workers       []*workerModel
+	commands      []pendingCommand
+	announcements []pendingAnnouncement
+	replies       []pendingReply
+	reserved      map[api.TaskRef]bool
+	// onDeliver is called before each delivery of a command. It gets and returns whether
+	// the command arrives and whether its answer arrives.
+	onDeliver func(arrives, answered bool) (bool, bool)
+	// completions holds the runs of each task that completed.
 	completions map[taskName]map[completion]bool
 }
 
@@ -55,26 +58,27 @@
 
 type clock float64
 
-func (c clock) at(real time.Duration) time.Time {
-	return epochStart.Add(time.Duration(float64(real) * float64(c)))
+func (c clock) at(elapsed time.Duration) time.Time {
+	return epochStart.Add(time.Duration(float64(elapsed) * float64(c)))
 }
 
 type leader struct {
 	machine *gang.Machine
 	clock   clock
-	// state and since are of a deposed leader: it sees no newer state.
-	state   *store.State
-	since   time.Duration
-	answers []gang.Answer
+	// state and deposedAt are set for a deposed leader, which sees no newer state.
+	state     *store.State
+	deposedAt time.Duration
+	answers   []gang.Answer
 }
 
-// entry follows the log; what it holds was confirmed at a moment.
-type entry struct {
+// followerInstance follows the log and answers announcements. Its state was confirmed at
+// the time confirmed.
+type followerInstance struct {
 	clock     clock
 	state     *store.State
 	confirmed time.Duration
-	// cut entries hear workers but nothing new of the log.
-	cut bool
+	// partitioned instances receive announcements but no newer state.
+	partitioned bool
 }
 
 type workerModel struct {
@@ -86,41 +90,41 @@
 	incarnation int64
 	announced   *peerpb.Upstream
 	expires     time.Duration
-	// cut workers get no command; held ones get commands and answers late. Both
-	// still announce themselves.
-	cut, held bool
-	// elsewhere tells that it announces itself to the other instance.
-	elsewhere bool
+	// A partitioned worker receives no commands; a delayed one receives commands and
+	// answers late. Both still announce themselves.
+	partitioned, delayed bool
+	// usesOther is set if the worker announces itself to otherInstance.
+	usesOther bool
 }
 
-type flight struct {
+type pendingCommand struct {
 	command gang.Command
 	from    *leader
 }
 
-type notice struct {
+type pendingAnnouncement struct {
 	worker       *workerModel
 	announcement *api.Announcement
 }
 
-type answered struct {
-	notice notice
-	reply  *api.AnnounceReply
+type pendingReply struct {
+	pendingAnnouncement pendingAnnouncement
+	reply               *api.AnnounceReply
 }
 
-func newModel(clocks func() clock, workers int) *model {
+func newModel(newClock func() clock, workers int) *model {
 	m := &model{state: store.New(), reserved: map[api.TaskRef]bool{}, completions: map[taskName]map[completion]bool{}}
-	m.leader = &leader{machine: gang.New(config), clock: clocks()}
-	m.standby = &leader{machine: gang.New(config), clock: clocks()}
-	m.entry = entry{clock: clocks(), state: m.state}
+	m.leader = &leader{machine: gang.New(config), clock: newClock()}
+	m.standby = &leader{machine: gang.New(config), clock: newClock()}
+	m.instance = followerInstance{clock: newClock(), state: m.state}
 	for i := range workers {
-		m.workers = append(m.workers, &workerModel{id: fmt.Sprint("w", i), clock: clocks(), options: tasks.Options{Speed: 1}})
+		m.workers = append(m.workers, &workerModel{id: fmt.Sprint("w", i), clock: newClock(), options: tasks.Options{Speed: 1}})
 		m.restart(i)
 	}
 	return m
 }
 
-func steady() clock { return 1 }
+func exactClock() clock { return 1 }
 
 func (m *model) restart(i int) {
 	w := m.workers[i]
@@ -131,7 +135,7 @@
 }
 
 func (m *model) apply(command *controlpb.Command) {
-	command.TimeMs = m.leader.clock.at(m.real).UnixMilli()
+	command.TimeMs = m.leader.clock.at(m.elapsed).UnixMilli()
 	m.state, _ = m.state.Apply(m.state.Index()+1, command)
 }
 
@@ -139,8 +143,8 @@
 	m.apply(&controlpb.Command{Op: &controlpb.Command_Submit{Submit: &controlpb.SubmitJob{Job: job}}})
 }
 
-// schedule places waiting jobs first come, first fit, on workers with two
-// accelerators each.
+// schedule places waiting jobs in order (first fit) on workers with two accelerators
+// each.
 func (m *model) schedule() {
 	taken := map[store.Accelerator]bool{}
 	for _, job := range m.state.ActiveJobs() {
@@ -152,24 +156,24 @@
 	}
 	plan := &controlpb.CommitPlan{}
 	for _, job := range m.state.ActiveJobs() {
-		if job.State != controlpb.JobState_JOB_STATE_WAITING || job.NotBeforeMs > m.leader.clock.at(m.real).UnixMilli() {
+		if job.State != controlpb.JobState_JOB_STATE_WAITING || job.NotBeforeMs > m.leader.clock.at(m.elapsed).UnixMilli() {
 			continue
 		}
-		if placements := m.fit(job, taken); placements != nil {
+		if placements := m.place(job, taken); placements != nil {
 			plan.Assignments = append(plan.Assignments, &controlpb.Assignment{Job: job.Id, Epoch: job.Epoch, Placements: placements})
 		}
 	}
 	m.apply(&controlpb.Command{Op: &controlpb.Command_Plan{Plan: plan}})
 }
 
-func (m *model) fit(job *controlpb.Job, taken map[store.Accelerator]bool) []*controlpb.Placement {
+func (m *model) place(job *controlpb.Job, taken map[store.Accelerator]bool) []*controlpb.Placement {
 	var placements []*controlpb.Placement
-	var own []store.Accelerator
+	var chosen []store.Accelerator
 	for _, w := range m.workers {
 		for number := range uint32(2) {
 			accelerator := store.Accelerator{Worker: w.id, Number: number}
 			if len(placements) < int(job.Tasks) && !taken[accelerator] && m.live(w) {
-				own = append(own, accelerator)
+				chosen = append(chosen, accelerator)
 				placements = append(placements, &controlpb.Placement{Task: uint32(len(placements)), Worker: w.id, Accelerators: []uint32{number}, Incarnation: w.announced.Incarnation})
 			}
 		}
@@ -177,17 +181,18 @@
 	if len(placements) < int(job.Tasks) {
 		return nil
 	}
-	for _, accelerator := range own {
+	for _, accelerator := range chosen {
 		taken[accelerator] = true
 	}
 	return placements
 }
 
-func (m *model) live(w *workerModel) bool { return w.announced != nil && m.real < w.expires }
+func (m *model) live(w *workerModel) bool { return w.announced != nil && m.elapsed < w.expires }
 
-// step lets a leader decide; its moves are committed, or lost with the answer.
+// step runs one step of a leader. Its moves are committed, or lost if commit is false or
+// the leader is deposed.
 func (m *model) step(l *leader, commit bool) {
-	in := &gang.Input{Now: l.clock.at(m.real), Answers: l.answers, Quarantined: func(string) bool { return false }}
+	in := &gang.Input{Now: l.clock.at(m.elapsed), Answers: l.answers, Quarantined: func(string) bool { return false }}
 	l.answers = nil
 	in.Jobs = m.state.ActiveJobs()
 	if l.state != nil {
@@ -200,40 +205,40 @@
 	}
 	out := l.machine.Step(in)
 	for _, command := range out.Commands {
-		m.commands = append(m.commands, flight{command: command, from: l})
+		m.commands = append(m.commands, pendingCommand{command: command, from: l})
 	}
 	if out.Batch != nil && commit && l == m.leader {
 		m.apply(&controlpb.Command{Op: &controlpb.Command_BatchMove{BatchMove: out.Batch}})
 	}
 }
 
-// newLeader takes over with empty memory. The old one goes on until it notices
-// that nobody confirms its leadership any more.
-func (m *model) newLeader(c clock) {
+// replaceLeader installs a new leader without any recorded state. The old one continues
+// until its last leadership confirmation exceeds FreshnessBound.
+func (m *model) replaceLeader(c clock) {
 	m.deposed = m.leader
 	m.deposed.state = m.state
-	m.deposed.since = m.real
+	m.deposed.deposedAt = m.elapsed
 	m.leader = &leader{machine: gang.New(config), clock: c}
 }
 
-// alternate lets the standby lead, which has followed the log so far, and the leader
-// before it follow.
-func (m *model) alternate() {
-	before, next := m.leader, m.standby
-	m.newLeader(next.clock)
+// promoteStandby makes the standby, which has followed the log, the leader, and the
+// previous leader the standby.
+func (m *model) promoteStandby() {
+	previous, next := m.leader, m.standby
+	m.replaceLeader(next.clock)
 	m.leader.machine = next.machine.NextTerm()
-	m.standby = &leader{machine: before.machine.NextTerm(), clock: before.clock}
+	m.standby = &leader{machine: previous.machine.NextTerm(), clock: previous.clock}
 }
 
 func (m *model) followLog() {
-	m.standby.machine.Follow(m.standby.clock.at(m.real), m.state.ActiveJobs())
+	m.standby.machine.Follow(m.standby.clock.at(m.elapsed), m.state.ActiveJobs())
 }
 
-func (m *model) deposedLeads() bool {
+func (m *model) deposedStillLeads() bool {
 	if m.deposed == nil {
 		return false
 	}
-	return m.deposed.clock.at(m.real).Sub(m.deposed.clock.at(m.deposed.since)) <= config.FreshnessBound
+	return m.deposed.clock.at(m.elapsed).Sub(m.deposed.clock.at(m.deposed.deposedAt)) <= config.FreshnessBound
 }
 
 func (m *model) worker(id string) *workerModel {
@@ -241,33 +246,33 @@
 	return m.workers[i]
 }
 
-// deliver hands the nth command to its worker; the answer may be lost.
+// deliver delivers the nth command to its worker. The command or its answer may be lost.
 func (m *model) deliver(n int, arrives, answerArrives bool) {
-	f := m.commands[n]
+	pending := m.commands[n]
 	m.commands = slices.Delete(m.commands, n, n+1)
-	if m.before != nil {
-		arrives, answerArrives = m.before(arrives, answerArrives)
+	if m.onDeliver != nil {
+		arrives, answerArrives = m.onDeliver(arrives, answerArrives)
 	}
-	answer := gang.Answer{Kind: f.command.Kind, Ref: f.command.Task.TaskRef}
-	lost := failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "no answer")
-	w := m.worker(f.command.Worker)
-	var obeyed *api.TaskAnswer
-	refused := lost
+	answer := gang.Answer{Kind: pending.command.Kind, Ref: pending.command.Task.TaskRef}
+	noAnswer := failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "no answer")
+	w := m.worker(pending.command.Worker)
+	var reply *api.TaskAnswer
+	failed := noAnswer
 	if arrives && w.up {
-		obeyed, refused = m.obey(w, &f.command)
+		reply, failed = m.execute(w, &pending.command)
 	}
 	if !answerArrives {
-		obeyed, refused = nil, lost
+		reply, failed = nil, noAnswer
 	}
-	answer.Err = refused
-	if obeyed != nil {
-		answer.Phase, answer.Incarnation, answer.CheckpointedMs = obeyed.Phase, obeyed.Incarnation, obeyed.CheckpointedMs
+	answer.Err = failed
+	if reply != nil {
+		answer.Phase, answer.Incarnation, answer.CheckpointedMs = reply.Phase, reply.Incarnation, reply.CheckpointedMs
 	}
-	f.from.answers = append(f.from.answers, answer)
+	pending.from.answers = append(pending.from.answers, answer)
 }
 
-func (m *model) obey(w *workerModel, command *gang.Command) (*api.TaskAnswer, *failure.Error) {
-	now := w.clock.at(m.real)
+func (m *model) execute(w *workerModel, command *gang.Command) (*api.TaskAnswer, *failure.Error) {
+	now := w.clock.at(m.elapsed)
 	switch command.Kind {
 	case gang.Reserve:
 		answer, err := w.table.Reserve(now, &command.Task)
@@ -282,56 +287,56 @@
 }
 
 func (m *model) announce(w *workerModel) {
-	version, reports := w.table.Announce(w.clock.at(m.real))
-	m.notices = append(m.notices, notice{worker: w, announcement: &api.Announcement{
+	version, reports := w.table.Announce(w.clock.at(m.elapsed))
+	m.announcements = append(m.announcements, pendingAnnouncement{worker: w, announcement: &api.Announcement{
 		ID: w.id, Incarnation: w.incarnation, Version: version, Tasks: reports,
 	}})
 }
 
-// hear lets the entry instance take the nth announcement and answer it.
-func (m *model) hear(n int) {
-	got := m.notices[n]
-	m.notices = slices.Delete(m.notices, n, n+1)
-	w := got.worker
-	upstream := got.announcement.Upstream(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER, 0)
+// receiveAnnouncement lets the worker's instance receive and answer the nth announcement.
+func (m *model) receiveAnnouncement(n int) {
+	received := m.announcements[n]
+	m.announcements = slices.Delete(m.announcements, n, n+1)
+	w := received.worker
+	upstream := received.announcement.Upstream(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER, 0)
 	old := w.announced
 	if old == nil || upstream.Incarnation > old.Incarnation || (upstream.Incarnation == old.Incarnation && upstream.Version > old.Version) {
 		w.announced = upstream
-		w.expires = m.real + 3*config.AnnounceEvery
+		w.expires = m.elapsed + 3*config.AnnounceEvery
 	}
-	e := &m.entry
-	if w.elsewhere {
-		e = m.other
+	f := &m.instance
+	if w.usesOther {
+		f = m.otherInstance
 	}
-	age := e.clock.at(m.real).Sub(e.clock.at(e.confirmed))
-	reply := renewal.Answer(e.state, age <= config.FreshnessBound, got.announcement.Tasks)
+	age := f.clock.at(m.elapsed).Sub(f.clock.at(f.confirmed))
+	reply := renewal.Answer(f.state, age <= config.FreshnessBound, received.announcement.Tasks)
 	reply.LeaseMs = config.Lease.Milliseconds()
-	m.replies = append(m.replies, answered{notice: got, reply: reply})
+	m.replies = append(m.replies, pendingReply{pendingAnnouncement: received, reply: reply})
 }
 
-func (m *model) takeReply(n int) {
-	got := m.replies[n]
+func (m *model) receiveReply(n int) {
+	received := m.replies[n]
 	m.replies = slices.Delete(m.replies, n, n+1)
-	w := got.notice.worker
-	if w.up && w.incarnation == got.notice.announcement.Incarnation {
-		w.table.Take(w.clock.at(m.real), got.notice.announcement.Version, got.reply)
-		if got.reply.TryOther && m.other != nil {
-			w.elsewhere = !w.elsewhere
+	w := received.pendingAnnouncement.worker
+	if w.up && w.incarnation == received.pendingAnnouncement.announcement.Incarnation {
+		w.table.Take(w.clock.at(m.elapsed), received.pendingAnnouncement.announcement.Version, received.reply)
+		if received.reply.TryOther && m.otherInstance != nil {
+			w.usesOther = !w.usesOther
 		}
 	}
 }
 
-func (m *model) follow() { m.entry.follow(m) }
+func (m *model) follow() { m.instance.follow(m) }
 
-func (e *entry) follow(m *model) { e.state, e.confirmed = m.state, m.real }
+func (f *followerInstance) follow(m *model) { f.state, f.confirmed = m.state, m.elapsed }
 
-// round is half a second in which the network delivers all that its faults let
-// through.
+// round simulates half a second in which all messages are delivered that the current
+// faults let through.
 func (m *model) round() {
-	m.real += 500 * time.Millisecond
-	for _, e := range []*entry{&m.entry, m.other} {
-		if e != nil && !e.cut {
-			e.follow(m)
+	m.elapsed += 500 * time.Millisecond
+	for _, f := range []*followerInstance{&m.instance, m.otherInstance} {
+		if f != nil && !f.partitioned {
+			f.follow(m)
 		}
 	}
 	for _, w := range m.workers {
@@ -339,12 +344,12 @@
 			m.announce(w)
 		}
 	}
-	for len(m.notices) > 0 {
-		m.hear(0)
+	for len(m.announcements) > 0 {
+		m.receiveAnnouncement(0)
 	}
 	for n := len(m.replies) - 1; n >= 0; n-- {
-		if !m.replies[n].notice.worker.held {
-			m.takeReply(n)
+		if !m.replies[n].pendingAnnouncement.worker.delayed {
+			m.receiveReply(n)
 		}
 	}
 	m.schedule()
@@ -358,20 +363,20 @@
 func (m *model) deliverAll() {
 	for n := len(m.commands) - 1; n >= 0; n-- {
 		w := m.worker(m.commands[n].command.Worker)
-		if !w.held {
-			m.deliver(n, !w.cut, true)
+		if !w.delayed {
+			m.deliver(n, !w.partitioned, true)
 		}
 	}
 }
 
-// heal ends every fault.
+// heal ends all faults and restarts workers that are down.
 func (m *model) heal() {
-	m.entry.cut = false
-	if m.other != nil {
-		m.other.cut = false
+	m.instance.partitioned = false
+	if m.otherInstance != nil {
+		m.otherInstance.partitioned = false
 	}
 	for i, w := range m.workers {
-		w.cut, w.held = false, false
+		w.partitioned, w.delayed = false, false
 		if !w.up {
 			m.restart(i)
 		}
--- a/internal/coordination/dispatch/gang/progress.go
+++ b/internal/coordination/dispatch/gang/progress.go
@@ -8,45 +8,46 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// slowestShare is the least share of its expected speed at which work counts as
-// going on: a worker six times as slow with its data on another rack (three times)
-// stays above it.
-const slowestShare = 1.0 / 20
+// minSpeedRatio is the lowest ratio of actual to expected speed at which a task counts
+// as making progress. A worker that is six times slower and has its data on another
+// rack (three times slower) stays above it.
+const minSpeedRatio = 1.0 / 20
 
-// progress is how far a member's work has come, as its worker reports.
+// progress is the progress of a member's task as reported by its worker.
 type progress struct {
 	percent uint32
-	// since is when the percent was first heard, heard when it was last.
-	since, heard time.Time
+	// since is when the current percentage was first reported, reportedAt when it
+	// was last reported.
+	since, reportedAt time.Time
 }
 
-func (p *progress) hear(report *peerpb.TaskReport, now time.Time) {
+func (p *progress) update(report *peerpb.TaskReport, now time.Time) {
 	if report.Percent != p.percent || p.since.IsZero() {
 		p.percent = report.Percent
 		p.since = now
 	}
-	p.heard = now
+	p.reportedAt = now
 }
 
-// stalled tells a running member whose work stands still although its worker goes
-// on reporting: a worker that hangs keeps its leases, and without this its tasks
-// would wait there for as long as it does. Only what was heard counts, so silence
-// is left to the leases.
+// stalled reports whether a running member makes no progress although its worker keeps
+// reporting. A worker that hangs keeps its leases, so without this check its tasks
+// would stay there for as long as it hangs. Only the time up to the last report
+// counts; workers that stop reporting are handled by lease expiry.
 func (s *step) stalled(job *controlpb.Job, r *run, m *member) bool {
 	if s.config.StallAfter == 0 || m.phase != phaseRunning || m.progress.since.IsZero() || m.progress.percent >= api.WholePercent {
 		return false
 	}
 	since := m.progress.since
 	if r.since.After(since) {
-		// A gang works from when the last member has started.
+		// Work begins once the last member of the gang has started.
 		since = r.since
 	}
-	return m.progress.heard.Sub(since) >= max(s.config.StallAfter, percentTime(job))
+	return m.progress.reportedAt.Sub(since) >= max(s.config.StallAfter, maxTimePerPercent(job))
 }
 
-// percentTime is how long a hundredth of the job's work takes at the slowest pace
-// that counts as work.
-func percentTime(job *controlpb.Job) time.Duration {
+// maxTimePerPercent is the time that 1% of the job's work takes at the lowest speed that
+// counts as progress (minSpeedRatio).
+func maxTimePerPercent(job *controlpb.Job) time.Duration {
 	expected := time.Duration(job.RunTimeMs) * time.Millisecond
-	return time.Duration(float64(expected) / api.WholePercent / slowestShare)
+	return time.Duration(float64(expected) / api.WholePercent / minSpeedRatio)
 }
--- a/internal/coordination/dispatch/gang/progress_test.go
+++ b/internal/coordination/dispatch/gang/progress_test.go
@@ -14,36 +14,37 @@
 
 const stallAfter = 8 * time.Second
 
-// watched is a machine over one running job, whose workers report percents.
-type watched struct {
+// progressModel is a machine with one running job whose workers report their progress.
+type progressModel struct {
 	machine *gang.Machine
 	now     time.Time
 	job     *controlpb.Job
 	version uint64
 }
 
-func watch(members int, runTime time.Duration) *watched {
+func newProgressModel(members int, runTime time.Duration) *progressModel {
 	c := config
 	c.StallAfter = stallAfter
-	w := &watched{machine: gang.New(c), now: time.Unix(1000, 0)}
-	w.job = &controlpb.Job{
+	m := &progressModel{machine: gang.New(c), now: time.Unix(1000, 0)}
+	m.job = &controlpb.Job{
 		Id: "j", Epoch: 1, Tasks: uint32(members), RunTimeMs: runTime.Milliseconds(), StartedMs: 1,
 		State: controlpb.JobState_JOB_STATE_RUNNING,
 	}
 	for i := range members {
-		w.job.Placements = append(w.job.Placements, &controlpb.Placement{Task: uint32(i), Worker: string(rune('a' + i))})
+		m.job.Placements = append(m.job.Placements, &controlpb.Placement{Task: uint32(i), Worker: string(rune('a' + i))})
 	}
-	return w
+	return m
 }
 
-// report takes a step in which each member's worker tells its percent; a negative
-// one is not told anew.
-func (w *watched) report(pass time.Duration, percents ...int) *controlpb.TaskFailure {
-	w.now = w.now.Add(pass)
-	w.version++
-	in := &gang.Input{Now: w.now, Jobs: []*controlpb.Job{w.job}, LeaseOver: func(string) bool { return false }}
+// report lets the given time pass and takes a step in which the worker of each member
+// reports its percentage; a negative one means an announcement without the task. It
+// returns the failure for which the gang is stopped, or nil.
+func (m *progressModel) report(elapsed time.Duration, percents ...int) *controlpb.TaskFailure {
+	m.now = m.now.Add(elapsed)
+	m.version++
+	in := &gang.Input{Now: m.now, Jobs: []*controlpb.Job{m.job}, LeaseOver: func(string) bool { return false }}
 	for i, percent := range percents {
-		upstream := &peerpb.Upstream{Id: w.job.Placements[i].Worker, Version: w.version}
+		upstream := &peerpb.Upstream{Id: m.job.Placements[i].Worker, Version: m.version}
 		if percent >= 0 {
 			upstream.Tasks = []*peerpb.TaskReport{{
 				Job: "j", Task: uint32(i), Epoch: 1, Phase: peerpb.TaskPhase_TASK_PHASE_RUNNING, Percent: uint32(percent),
@@ -51,7 +52,7 @@
 		}
 		in.Workers = append(in.Workers, upstream)
 	}
-	for _, move := range w.machine.Step(in).Batch.GetMoves() {
+	for _, move := range m.machine.Step(in).Batch.GetMoves() {
 		if move.State == controlpb.JobState_JOB_STATE_STOPPING {
 			return move.Failure
 		}
@@ -59,53 +60,54 @@
 	return nil
 }
 
-// A caller that waits for as long as a worker hangs, since the worker goes on reporting.
+// A worker that hangs but keeps reporting must not block its job: the gang is stopped
+// once a task's progress has not changed for StallAfter.
 func TestWorkThatStandsStillIsStopped(t *testing.T) {
 	is := is.New(t)
-	w := watch(2, 8*time.Second)
-	is.Equal(w.report(0, 10, 10), nil)
+	m := newProgressModel(2, 8*time.Second)
+	is.Equal(m.report(0, 10, 10), nil)
 	for i := 1; i < 8; i++ {
-		is.Equal(w.report(time.Second, 10+i, 10), nil)
+		is.Equal(m.report(time.Second, 10+i, 10), nil)
 	}
-	failed := w.report(time.Second, 18, 10)
+	failed := m.report(time.Second, 18, 10)
 	is.True(failed != nil)
 	is.Equal(failed.Worker, "b")
 	is.Equal(failed.Code, string(failure.Stalled))
 	is.True(failure.Code(failed.Code).Infrastructure())
 }
 
-// Members that are done wait at 100% for the slowest one. They do not hang, and to
-// stop the gang would throw all of its work away.
-func TestMembersThatWaitForTheirGangAreNotStalled(t *testing.T) {
+// Members that have done their work stay at 100% until the slowest one is done. They are
+// not stalled, and stopping the gang would discard all of its work.
+func TestMembersAtFullProgressAreNotStalled(t *testing.T) {
 	is := is.New(t)
-	w := watch(2, 8*time.Second)
+	m := newProgressModel(2, 8*time.Second)
 	for i := range 60 {
-		is.Equal(w.report(time.Second, 100, i), nil)
+		is.Equal(m.report(time.Second, 100, i), nil)
 	}
 }
 
-// Work of 20 minutes passes a percent in 12 s, and on a slow worker in some
-// minutes. The wait follows the estimate, so that it is not stopped.
-func TestLongWorkMayPassAPercentSlowly(t *testing.T) {
+// One percent of a 20-minute job takes 12 s, and minutes on a slow worker. The stall
+// timeout scales with the estimated run time, so that such a job is not stopped.
+func TestStallTimeoutScalesWithRunTime(t *testing.T) {
 	is := is.New(t)
-	w := watch(1, 20*time.Minute)
-	is.Equal(w.report(0, 0), nil)
+	m := newProgressModel(1, 20*time.Minute)
+	is.Equal(m.report(0, 0), nil)
 	for i := range 20 {
 		for range 20 {
-			is.Equal(w.report(10*time.Second, i), nil)
+			is.Equal(m.report(10*time.Second, i), nil)
 		}
 	}
 }
 
-// A worker that is silent tells nothing of its tasks. That is the leases' matter:
-// the time of the silence does not count as time without progress.
-func TestSilenceIsNoStall(t *testing.T) {
+// Time without reports from a worker does not count as time without progress. Workers
+// that stop reporting are handled by lease expiry.
+func TestMissingReportsAreNotAStall(t *testing.T) {
 	is := is.New(t)
-	w := watch(1, 8*time.Second)
-	is.Equal(w.report(0, 10), nil)
-	is.Equal(w.report(time.Second, 10), nil)
+	m := newProgressModel(1, 8*time.Second)
+	is.Equal(m.report(0, 10), nil)
+	is.Equal(m.report(time.Second, 10), nil)
 	for range 2 {
-		failed := w.report(time.Second, -1)
+		failed := m.report(time.Second, -1)
 		is.True(failed == nil || failed.Code != string(failure.Stalled))
 	}
 }
--- a/internal/coordination/dispatch/gang/retry.go
+++ b/internal/coordination/dispatch/gang/retry.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	firstBackoff = time.Second
-	// lastBackoff caps the pause: work that fails for long is still tried a few
-	// times an hour, until it is parked.
-	lastBackoff = 5 * time.Minute
-	// parkWorkers is on how many distinct healthy workers a job may fail; one or
-	// two may be broken in a way that nobody has noticed yet.
-	parkWorkers = 3
-	// parkFailures is how often a job may fail of itself wherever it ran: on a
-	// small system there are not three workers to try.
-	parkFailures = 8
-	// parkVanished is how many distinct workers may vanish under a job. A worker
-	// that vanishes is not the job's fault until it happens to all of them.
-	parkVanished = 5
-	// mostLost bounds how many failures that were not a job's own lengthen its pause: lost
-	// workers are back, or others in their place, within seconds.
-	mostLost = 3
+	minBackoff = time.Second
+	// maxBackoff caps the delay: a job that keeps failing is still retried several
+	// times an hour until it is parked.
+	maxBackoff = 5 * time.Minute
+	// parkHealthyWorkers is the number of distinct healthy workers on which a job has to
+	// fail before it is parked; one or two may have a fault not yet detected.
+	parkHealthyWorkers = 3
+	// parkOwnFailures is the number of failures of its own after which a job is parked
+	// on whichever workers it ran: a small system has fewer than three workers to try.
+	parkOwnFailures = 8
+	// parkVanishedWorkers is the number of distinct workers that have to vanish while
+	// running a job before the job is parked. A single vanished worker is not attributed
+	// to the job.
+	parkVanishedWorkers = 5
+	// maxInfrastructureFailures caps how many infrastructure failures lengthen a job's
+	// backoff: lost workers are back or replaced within seconds.
+	maxInfrastructureFailures = 3
 )
 
-// backoff is the pause before the next attempt: exponential, with half of it
-// drawn from the job and epoch, so that a wave of failed jobs does not come back
-// as a wave, and that every leader draws the same.
+// backoff returns the delay before the next attempt: exponential, of which the upper half
+// is jitter derived from a hash of the job and epoch. The jitter spreads the retries of
+// jobs that failed together, and every leader computes the same delay.
 func backoff(job *controlpb.Job) time.Duration {
-	pause := lastBackoff
-	if tries := triesOf(job); tries < 10 {
-		pause = min(firstBackoff<<max(tries-1, 0), lastBackoff)
+	delay := maxBackoff
+	if failures := backoffFailures(job); failures < 10 {
+		delay = min(minBackoff<<max(failures-1, 0), maxBackoff)
 	}
 	var epoch [8]byte
 	binary.LittleEndian.PutUint64(epoch[:], job.Epoch)
@@ -43,29 +44,31 @@
 	_, _ = digest.WriteString(job.Id)
 	_, _ = digest.Write(epoch[:])
 	const steps = 1024
-	return pause/2 + pause/2*time.Duration(digest.Sum64()%steps)/steps
+	return delay/2 + delay/2*time.Duration(digest.Sum64()%steps)/steps
 }
 
-// triesOf counts the failures that lengthen a job's pause.
-func triesOf(job *controlpb.Job) int {
-	own, lost := 0, 0
+// backoffFailures counts the failures that lengthen a job's backoff.
+func backoffFailures(job *controlpb.Job) int {
+	own, infrastructure := 0, 0
 	for _, failed := range job.Failures {
 		if failure.Code(failed.GetCode()).Infrastructure() {
-			lost++
+			infrastructure++
 		} else {
 			own++
 		}
 	}
-	return own + min(lost, mostLost)
+	return own + min(infrastructure, maxInfrastructureFailures)
 }
 
-// infrastructurePause keeps a job whose worker refused it from asking again in
-// every step: a refusal for want of room lasts until an end is listed.
-const infrastructurePause = 100 * time.Millisecond
+// infrastructureRetryDelay keeps a job that its worker refused from being retried in
+// every step: a refusal for lack of capacity lasts until the end of another task is
+// recorded.
+const infrastructureRetryDelay = 100 * time.Millisecond
 
-// decideBounded retries work with a declared number of attempts at once, and
-// parks it when they are used up. Ends that were not its own don't count.
-func decideBounded(job *controlpb.Job, now time.Time, move *controlpb.MoveJob) {
+// decideBoundedRetry retries a job with a declared maximum of attempts without backoff,
+// and parks it when the attempts are used up. Infrastructure failures don't count as
+// attempts.
+func decideBoundedRetry(job *controlpb.Job, now time.Time, move *controlpb.MoveJob) {
 	failed := job.OwnFailures
 	if move.Failure != nil && !failure.Code(move.Failure.Code).Infrastructure() {
 		failed++
@@ -75,11 +78,12 @@
 		return
 	}
 	if job.FailedEpoch != job.Epoch && move.Failure == nil && !job.Preempted {
-		move.NotBeforeMs = now.Add(infrastructurePause).UnixMilli()
+		move.NotBeforeMs = now.Add(infrastructureRetryDelay).UnixMilli()
 	}
 }
 
-// atFault tells a job that fails by itself from one that met bad workers.
+// atFault reports whether the recorded failures are attributed to the job itself rather
+// than to its workers.
 func atFault(job *controlpb.Job, quarantined func(worker string) bool) bool {
 	healthy := map[string]bool{}
 	vanished := map[string]bool{}
@@ -98,5 +102,5 @@
 			}
 		}
 	}
-	return len(healthy) >= parkWorkers || own >= parkFailures || len(vanished) >= parkVanished
+	return len(healthy) >= parkHealthyWorkers || own >= parkOwnFailures || len(vanished) >= parkVanishedWorkers
 }
--- a/internal/coordination/dispatch/gang/retry_test.go
+++ b/internal/coordination/dispatch/gang/retry_test.go
@@ -10,7 +10,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-func failed(code string, workers ...string) []*controlpb.TaskFailure {
+func failuresOn(code string, workers ...string) []*controlpb.TaskFailure {
 	var failures []*controlpb.TaskFailure
 	for _, worker := range workers {
 		failures = append(failures, &controlpb.TaskFailure{Worker: worker, Code: code})
@@ -18,24 +18,24 @@
 	return failures
 }
 
-// A job is parked when it fails wherever it goes, and not for what its workers
-// did to it.
+// A job is parked when it fails on any worker, and not for failures caused by its
+// workers.
 func TestJobAtFault(t *testing.T) {
 	cases := []struct {
 		name     string
 		failures []*controlpb.TaskFailure
 		want     bool
 	}{
-		{"on two healthy workers", failed("task_failed", "a", "b"), false},
-		{"on three healthy workers", failed("task_failed", "a", "b", "c"), true},
-		{"on one worker thrice", failed("task_failed", "a", "a", "a"), false},
-		{"on one worker eight times", failed("task_failed", "a", "a", "a", "a", "a", "a", "a", "a"), true},
-		{"on a quarantined worker", failed("task_failed", "a", "b", "bad"), false},
-		{"with a code of the worker's own", failed("cuda_error", "a", "b", "c"), true},
-		{"unreachable workers", failed("unreachable", "a", "b", "c", "d", "e", "f", "g", "h", "i"), false},
-		{"four workers vanished", failed("worker_vanished", "a", "b", "c", "d"), false},
-		{"five workers vanished under it", failed("worker_vanished", "a", "b", "c", "d", "e"), true},
-		{"out of memory on three", failed("memory_exceeded", "a", "b", "c"), false},
+		{"on two healthy workers", failuresOn("task_failed", "a", "b"), false},
+		{"on three healthy workers", failuresOn("task_failed", "a", "b", "c"), true},
+		{"on one worker three times", failuresOn("task_failed", "a", "a", "a"), false},
+		{"on one worker eight times", failuresOn("task_failed", "a", "a", "a", "a", "a", "a", "a", "a"), true},
+		{"on a quarantined worker", failuresOn("task_failed", "a", "b", "bad"), false},
+		{"with a worker-specific code", failuresOn("cuda_error", "a", "b", "c"), true},
+		{"unreachable workers", failuresOn("unreachable", "a", "b", "c", "d", "e", "f", "g", "h", "i"), false},
+		{"four workers vanished", failuresOn("worker_vanished", "a", "b", "c", "d"), false},
+		{"five workers vanished", failuresOn("worker_vanished", "a", "b", "c", "d", "e"), true},
+		{"out of memory on three", failuresOn("memory_exceeded", "a", "b", "c"), false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,28 +46,29 @@
 	}
 }
 
-// Pauses grow to a cap, are the same for every leader, and differ between jobs
+// The backoff grows up to a cap, is the same on every leader, and differs between jobs
 // that failed together.
 func TestBackoff(t *testing.T) {
 	is := is.New(t)
 	distinct := map[time.Duration]bool{}
 	for i := range 100 {
-		job := &controlpb.Job{Id: fmt.Sprint("j", i), Epoch: 3, Failures: failed("x", "a", "b", "c")}
-		pause := backoff(job)
-		is.True(pause >= 2*time.Second && pause < 4*time.Second)
-		is.Equal(pause, backoff(job))
-		distinct[pause] = true
+		job := &controlpb.Job{Id: fmt.Sprint("j", i), Epoch: 3, Failures: failuresOn("x", "a", "b", "c")}
+		delay := backoff(job)
+		is.True(delay >= 2*time.Second && delay < 4*time.Second)
+		is.Equal(delay, backoff(job))
+		distinct[delay] = true
 	}
 	is.True(len(distinct) > 80)
 	long := &controlpb.Job{Id: "j", Failures: make([]*controlpb.TaskFailure, 16)}
-	is.True(backoff(long) <= lastBackoff && backoff(long) >= lastBackoff/2)
+	is.True(backoff(long) <= maxBackoff && backoff(long) >= maxBackoff/2)
 }
 
-// A job waits for minutes, with workers idle, since several workers were lost under it.
+// Infrastructure failures must lengthen the backoff only a little: otherwise a job that
+// lost several workers waits for minutes while workers are idle.
 func TestLostWorkersLengthenThePauseLittle(t *testing.T) {
 	is := is.New(t)
-	lost := &controlpb.Job{Id: "j", Epoch: 8, Failures: failed("lease_lost", "a", "b", "c", "d", "e", "f", "g")}
+	lost := &controlpb.Job{Id: "j", Epoch: 8, Failures: failuresOn("lease_lost", "a", "b", "c", "d", "e", "f", "g")}
 	is.True(backoff(lost) <= 4*time.Second)
-	both := &controlpb.Job{Id: "j", Epoch: 8, Failures: append(failed("x", "a", "b", "c"), lost.Failures...)}
+	both := &controlpb.Job{Id: "j", Epoch: 8, Failures: append(failuresOn("x", "a", "b", "c"), lost.Failures...)}
 	is.True(backoff(both) >= 16*time.Second)
 }
--- a/internal/coordination/dispatch/gang/run.go
+++ b/internal/coordination/dispatch/gang/run.go
@@ -11,22 +11,24 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// run is what is remembered of one epoch of a job.
+// run is the state of one epoch of a job.
 type run struct {
 	epoch uint64
 	state controlpb.JobState
-	// since is when this machine first saw the state, and of a stop when this instance
-	// did: from there waits are counted, by its own clock.
+	// since is when this machine first saw the job's state; for STOPPING it is when
+	// this instance first saw it, in any term. Timeouts count from it, on the clock of
+	// this instance.
 	since time.Time
-	// mayHaveStarted is set once a start was sent, and for a run that another
-	// leader began.
+	// mayHaveStarted is set once a start command was sent, and if an earlier leader may
+	// have sent one.
 	mayHaveStarted bool
-	// news says that a member changed since the run was last driven.
-	news    bool
+	// changed is set when a member has changed since the run was last processed.
+	changed bool
 	members []*member
 }
 
-// phase of a member; it only grows, so that late news changes nothing.
+// phase is the phase of a member. It only increases, so that delayed reports and answers
+// have no effect.
 type phase int
 
 const (
@@ -44,31 +46,33 @@
 type member struct {
 	placement *controlpb.Placement
 	phase     phase
-	// awaiting is the command whose answer is still to come; 0 for none.
+	// awaiting is the kind of the command without an answer yet; 0 for none.
 	awaiting Kind
-	// refused is why a reserve or start failed.
-	refused *failure.Error
-	// heardIn is the newest announcement that reported the task.
-	heardIn *peerpb.Upstream
-	// report of the task's end.
-	report         *peerpb.TaskReport
+	// refusal is the error of a failed reserve or start command.
+	refusal *failure.Error
+	// reportedIn is the newest announcement that reported the task.
+	reportedIn *peerpb.Upstream
+	// endReport is the report of the task's end.
+	endReport      *peerpb.TaskReport
 	checkpointedMs int64
-	// checkpoint is the newest that the worker named.
+	// checkpoint names the newest checkpoint that the worker reported.
 	checkpoint string
-	// unknown is set where the worker has started again since it was given the
-	// task: it runs no more, and nobody can say how it ended.
-	unknown bool
-	// progress of the task's work.
-	progress progress
-	// absent is since when a live worker has not reported the task.
-	absent time.Time
-	// retry is when a stop may be sent again.
-	retry time.Time
-	tries int
-}
-
-// track finds the run of the job's epoch, or begins it. What the workers report
-// is read first, so that a new leader goes on from there.
+	// outcomeUnknown is set if the worker restarted after it was given the task: the task
+	// no longer runs, and its outcome cannot be determined.
+	outcomeUnknown bool
+	progress       progress
+	// absentSince is when the task was first found missing from a live worker's
+	// announcements; zero while it is reported.
+	absentSince time.Time
+	// retryAt is the earliest time to send another stop, failedStops the number of stops
+	// that failed.
+	retryAt     time.Time
+	failedStops int
+}
+
+// track returns the run of the job's epoch and creates it if necessary. A new run starts
+// from what the workers have reported, so that a new leader continues a gang where it
+// stands.
 func (s *step) track(job *controlpb.Job) *run {
 	r := s.runs[job.Id]
 	if r == nil || r.epoch != job.Epoch {
@@ -77,7 +81,7 @@
 	if r.state != job.State {
 		r.state = job.State
 		r.since = s.stops.since(job, s.in.Now)
-		r.news = true
+		r.changed = true
 		for _, m := range r.members {
 			m.awaiting = 0
 		}
@@ -86,13 +90,13 @@
 }
 
 func (s *step) beginRun(job *controlpb.Job) *run {
-	// A young leader may still be applying what an earlier one decided.
-	r := &run{epoch: job.Epoch, mayHaveStarted: job.StartedMs > 0 || !s.knowsWorkers()}
+	// A new leader may not have applied all decisions of the previous one yet.
+	r := &run{epoch: job.Epoch, mayHaveStarted: job.StartedMs > 0 || !s.announcementsComplete()}
 	for _, placement := range job.Placements {
 		m := &member{placement: placement, checkpointedMs: job.CheckpointedMs}
 		if w := s.workers[placement.Worker]; w != nil {
 			if report := w.reportOf(job.Id, job.Epoch, placement.Task); report != nil {
-				m.hear(report, w.upstream, s.in.Now)
+				m.applyReport(report, w.upstream, s.in.Now)
 			}
 		}
 		r.members = append(r.members, m)
@@ -100,7 +104,8 @@
 	return r
 }
 
-// member finds a task's member; placements are in the order of tasks.
+// member returns the member of a task, or nil. Placements are normally in task order, so
+// the index is tried first.
 func (r *run) member(task uint32) *member {
 	if int(task) < len(r.members) && r.members[task].placement.Task == task {
 		return r.members[task]
@@ -113,8 +118,8 @@
 	return nil
 }
 
-// reached tells whether every member has come to the phase.
-func (r *run) reached(p phase) bool {
+// allReached reports whether every member has reached the phase.
+func (r *run) allReached(p phase) bool {
 	return !slices.ContainsFunc(r.members, func(m *member) bool { return m.phase < p })
 }
 
@@ -134,45 +139,46 @@
 	api.PhaseCompleted: phaseCompleted,
 }
 
-// hear takes what the worker reports of the task, and tells whether it is news.
-func (m *member) hear(report *peerpb.TaskReport, in *peerpb.Upstream, now time.Time) bool {
-	m.progress.hear(report, now)
-	m.absent = time.Time{}
-	m.heardIn = in
+// applyReport applies a worker's report on the task. It returns whether the member's
+// phase changed or the end of the task was reported for the first time.
+func (m *member) applyReport(report *peerpb.TaskReport, announcement *peerpb.Upstream, now time.Time) bool {
+	m.progress.update(report, now)
+	m.absentSince = time.Time{}
+	m.reportedIn = announcement
 	if !m.phase.ended() {
 		m.checkpointedMs = max(m.checkpointedMs, report.CheckpointedMs)
-		m.keep(report.Checkpoint)
+		m.setCheckpoint(report.Checkpoint)
 	}
-	before := m.phase
+	previous := m.phase
 	m.advance(reportedPhases[report.Phase], report.CheckpointedMs)
-	if m.phase.ended() && m.report == nil {
-		m.report = report
+	if m.phase.ended() && m.endReport == nil {
+		m.endReport = report
 		return true
 	}
-	return m.phase != before
+	return m.phase != previous
 }
 
-// take handles the answer to a command.
-func (m *member) take(answer *Answer, now time.Time) {
+// applyAnswer applies the answer to a command.
+func (m *member) applyAnswer(answer *Answer, now time.Time) {
 	m.awaiting = 0
 	if answer.Err == nil && answer.Kind == Stop && answer.Phase == "" {
-		// The start of the worker that was given the task would know of it, had it
-		// ever run there.
-		m.unknown = answer.Incarnation != m.placement.Incarnation
+		// The worker does not know the task. If it is the incarnation that was given
+		// the task, the task never ran there.
+		m.outcomeUnknown = answer.Incarnation != m.placement.Incarnation
 		m.advance(phaseStopped, 0)
 		return
 	}
 	if answer.Err == nil {
-		m.keep(answer.Checkpoint)
+		m.setCheckpoint(answer.Checkpoint)
 		m.advance(answeredPhases[answer.Phase], answer.CheckpointedMs)
 		return
 	}
 	if answer.Kind == Stop {
-		m.tries++
-		m.retry = now.Add(stopRetry(m.tries))
+		m.failedStops++
+		m.retryAt = now.Add(stopRetryDelay(m.failedStops))
 		return
 	}
-	m.refused = answer.Err
+	m.refusal = answer.Err
 }
 
 func (m *member) advance(p phase, checkpointedMs int64) {
@@ -183,47 +189,49 @@
 	m.checkpointedMs = max(m.checkpointedMs, checkpointedMs)
 }
 
-// keep takes a newer checkpoint; a report without one takes none back.
-func (m *member) keep(checkpoint string) {
+// setCheckpoint records a newer checkpoint. A report without one leaves the recorded one
+// in place.
+func (m *member) setCheckpoint(checkpoint string) {
 	if checkpoint != "" && !m.phase.ended() {
 		m.checkpoint = checkpoint
 	}
 }
 
-// done tells a task whose good end is in the log.
-func done(job *controlpb.Job, m *member) bool {
+// completionRecorded reports whether the log records the member's task as completed.
+func completionRecorded(job *controlpb.Job, m *member) bool {
 	return slices.Contains(job.DoneTasks, m.placement.Task)
 }
 
-// finish records the members that ended well and are not in the log as such.
-func (s *step) finish(job *controlpb.Job, r *run) {
-	together := job.EndsTogether && r.anyCompleted()
+// recordCompletions adds to the batch the completed members that the log does not record
+// yet. If the job's tasks end together, the completion of one completes all.
+func (s *step) recordCompletions(job *controlpb.Job, r *run) {
+	endTogether := job.EndsTogether && r.anyCompleted()
 	for _, m := range r.members {
-		if (m.phase == phaseCompleted || together) && !done(job, m) {
+		if (m.phase == phaseCompleted || endTogether) && !completionRecorded(job, m) {
 			finished := &controlpb.FinishedTask{Job: job.Id, Epoch: job.Epoch, Task: m.placement.Task}
 			s.batch().Finished = append(s.batch().Finished, finished)
 		}
 	}
 }
 
-// failedMember is one that failed by itself or its worker's fault; nil where none
-// did. It goes before the members that their workers ended because of it.
+// failedMember returns a member whose task failed, or nil. Its failure takes precedence
+// over members that their workers stopped as a consequence.
 func (r *run) failedMember(job *controlpb.Job) *member {
 	for _, m := range r.members {
-		if m.phase == phaseFailed && !done(job, m) {
+		if m.phase == phaseFailed && !completionRecorded(job, m) {
 			return m
 		}
 	}
 	return nil
 }
 
-// anyCompleted tells whether a member has ended well.
+// anyCompleted reports whether a member has completed.
 func (r *run) anyCompleted() bool {
 	return slices.ContainsFunc(r.members, func(m *member) bool { return m.phase == phaseCompleted })
 }
 
-// stopped tells a member that surely runs no more: by its own word, now or
-// earlier in the log.
-func stopped(job *controlpb.Job, m *member) bool {
-	return m.phase.ended() || done(job, m) || store.StopAcknowledged(job, m.placement.Task)
+// endKnown reports whether the member's task is known to have ended, from its worker's
+// reports and answers or from the log.
+func endKnown(job *controlpb.Job, m *member) bool {
+	return m.phase.ended() || completionRecorded(job, m) || store.StopAcknowledged(job, m.placement.Task)
 }
--- a/internal/coordination/dispatch/gang/running.go
+++ b/internal/coordination/dispatch/gang/running.go
@@ -5,34 +5,35 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// running looks after a gang that runs: it records the tasks that ended well,
-// and stops the gang when one member has failed, was stopped or has vanished.
-// Members are gone through only on news of one, and in the scans for absence.
+// running handles a job in state RUNNING: it records completed tasks and stops the gang
+// when a member has failed, was stopped, has stalled or has vanished. The members are
+// examined only after one of them changed, and in the periodic scans.
 func (s *step) running(job *controlpb.Job, r *run) {
-	if !r.news && !s.scan {
+	if !r.changed && !s.scan {
 		return
 	}
-	r.news = false
+	r.changed = false
 	if job.EndsTogether && r.anyCompleted() {
-		s.finish(job, r)
-		r.news = true
+		s.recordCompletions(job, r)
+		r.changed = true
 		return
 	}
 	if failed := s.runFailure(job, r); failed != nil {
-		// The news is kept: if the move is not committed, it is made again.
-		r.news = true
-		s.finish(job, r)
-		s.fail(job, r, failed)
+		// changed stays set, so that the move is repeated if it is not committed.
+		r.changed = true
+		s.recordCompletions(job, r)
+		s.stopOnFailure(job, r, failed)
 		return
 	}
-	s.finish(job, r)
-	r.news = r.unrecorded(job)
+	s.recordCompletions(job, r)
+	r.changed = r.hasUnrecordedCompletion(job)
 }
 
-// unrecorded tells whether an end is not in the log yet.
-func (r *run) unrecorded(job *controlpb.Job) bool {
+// hasUnrecordedCompletion reports whether a member has completed and the log does not
+// record it yet.
+func (r *run) hasUnrecordedCompletion(job *controlpb.Job) bool {
 	for _, m := range r.members {
-		if m.phase == phaseCompleted && !done(job, m) {
+		if m.phase == phaseCompleted && !completionRecorded(job, m) {
 			return true
 		}
 	}
@@ -44,40 +45,41 @@
 		return s.memberFailure(m)
 	}
 	for _, m := range r.members {
-		if m.phase == phaseCompleted || done(job, m) {
+		if m.phase == phaseCompleted || completionRecorded(job, m) {
 			continue
 		}
 		if failed := s.memberFailure(m); failed != nil {
 			return failed
 		}
 		if s.scan && s.vanished(m) {
-			return s.infrastructure(m, failure.WorkerVanished, "the worker or its task is gone")
+			return s.infrastructureFailure(m, failure.WorkerVanished, "the worker or its task is gone")
 		}
 		if s.scan && s.stalled(job, r, m) {
-			return s.infrastructure(m, failure.Stalled, "the task's work stands still")
+			return s.infrastructureFailure(m, failure.Stalled, "the task's work stands still")
 		}
 	}
 	return nil
 }
 
-// vanished tells a member whose worker announces itself to no instance, or
-// announces itself without the task. The registry merges what every instance
-// hears, so a worker that only the leader cannot reach is not vanished. A worker
-// that has started again says so by its incarnation; one that has not may have
-// sent the announcement before it took the task, so absence has to last.
+// vanished reports whether the member's worker announces itself to no instance, or
+// announces itself without the task. The registry merges the announcements received by
+// all instances, so a worker that only the leader cannot reach has not vanished. A
+// restarted worker is recognized by its incarnation. A worker that has not restarted may
+// have sent its announcement before it accepted the task, so the task must be missing
+// for announcementTTL.
 func (s *step) vanished(m *member) bool {
 	w := s.workers[m.placement.Worker]
 	if w == nil {
-		return s.knowsWorkers()
+		return s.announcementsComplete()
 	}
-	if m.heardIn == w.upstream {
+	if m.reportedIn == w.upstream {
 		return false
 	}
 	if w.upstream.Incarnation > m.placement.Incarnation {
 		return true
 	}
-	if m.absent.IsZero() {
-		m.absent = s.in.Now
+	if m.absentSince.IsZero() {
+		m.absentSince = s.in.Now
 	}
-	return s.in.Now.Sub(m.absent) >= s.config.grace()
+	return s.in.Now.Sub(m.absentSince) >= s.config.announcementTTL()
 }
--- a/internal/coordination/dispatch/gang/starting.go
+++ b/internal/coordination/dispatch/gang/starting.go
@@ -5,25 +5,26 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// starting reserves every member and only then starts any: a gang of which one
-// member refuses has run nowhere. A member that refuses a start, or is silent,
-// stops all. Commands repeated by a new leader change nothing at the workers.
-// Workers that know no reservations are only asked whether they answer.
+// starting handles a job in state STARTING. It starts members only after all are
+// reserved, so that a gang with a refused reservation has run nowhere. If a member
+// refuses its start or does not answer, the whole gang is stopped. The commands are
+// idempotent: those repeated by a new leader have no effect at the workers. At workers
+// without reservations, a reserve only checks that the worker answers.
 func (s *step) starting(job *controlpb.Job, r *run) {
 	if job.EndsTogether && r.anyCompleted() {
-		s.finish(job, r)
+		s.recordCompletions(job, r)
 		return
 	}
 	if failed := s.startFailure(job, r); failed != nil {
-		s.fail(job, r, failed)
+		s.stopOnFailure(job, r, failed)
 		return
 	}
-	if r.reached(phaseRunning) {
+	if r.allReached(phaseRunning) {
 		s.move(&controlpb.MoveJob{Job: job.Id, Epoch: job.Epoch, State: controlpb.JobState_JOB_STATE_RUNNING})
 		return
 	}
-	if r.reached(phaseReserved) {
-		if !s.mayStart(r) {
+	if r.allReached(phaseReserved) {
+		if !s.canStart(r) {
 			return
 		}
 		r.mayHaveStarted = true
@@ -33,17 +34,17 @@
 	s.sendEach(Reserve, phaseIdle, job, r)
 }
 
-// mayStart tells whether every member can be started now, or one has been. A start
-// held back from one member alone would leave the others to run without it until the
-// gang's start times out; sent and refused, it ends the gang at once.
-func (s *step) mayStart(r *run) bool {
+// canStart reports whether every member can be started now, or one was started already.
+// Withholding the start of a single member would let the others run without it until the
+// start of the gang times out; a start that is sent and refused ends the gang at once.
+func (s *step) canStart(r *run) bool {
 	all := true
 	for _, m := range r.members {
 		if m.phase >= phaseRunning || m.awaiting == Start {
 			return true
 		}
 		w := s.workers[m.placement.Worker]
-		all = all && w != nil && s.mayLease(w)
+		all = all && w != nil && s.canGrantLease(w)
 	}
 	return all
 }
@@ -51,7 +52,7 @@
 func (s *step) sendEach(kind Kind, from phase, job *controlpb.Job, r *run) {
 	for _, m := range r.members {
 		w := s.workers[m.placement.Worker]
-		if m.phase == from && m.awaiting == 0 && w != nil && w.upstream.Incarnation == m.placement.Incarnation && (kind != Reserve || s.mayLease(w)) {
+		if m.phase == from && m.awaiting == 0 && w != nil && w.upstream.Incarnation == m.placement.Incarnation && (kind != Reserve || s.canGrantLease(w)) {
 			s.send(kind, job, m, w)
 		}
 	}
@@ -66,41 +67,45 @@
 			return failed
 		}
 		w := s.workers[m.placement.Worker]
-		if w == nil && s.knowsWorkers() {
-			return s.infrastructure(m, failure.Unreachable, "the worker does not announce itself")
+		if w == nil && s.announcementsComplete() {
+			return s.infrastructureFailure(m, failure.Unreachable, "the worker does not announce itself")
 		}
 		if w != nil && w.upstream.Incarnation > m.placement.Incarnation {
-			return s.infrastructure(m, failure.WorkerVanished, "the worker has started again")
+			return s.infrastructureFailure(m, failure.WorkerVanished, "the worker has started again")
 		}
 	}
 	if s.in.Now.Sub(r.since) > s.config.startTimeout() {
-		return s.infrastructure(slowest(r), failure.StartTimeout, "the gang did not start in time")
+		return s.infrastructureFailure(leastAdvanced(r), failure.StartTimeout, "the gang did not start in time")
 	}
 	return nil
 }
 
-// knowsWorkers tells whether this instance has led for long enough that every
-// live worker has been heard: until then an unknown worker is no dead one.
-func (s *step) knowsWorkers() bool { return s.in.Now.Sub(s.leading) >= s.config.grace() }
+// announcementsComplete reports whether this instance has led long enough to have received the
+// announcement of every live worker. Until then a worker without an announcement does
+// not count as dead.
+func (s *step) announcementsComplete() bool {
+	return s.in.Now.Sub(s.leadingSince) >= s.config.announcementTTL()
+}
 
-// memberFailure is what ended the member, or refused its start, if anything did.
+// memberFailure returns the failure that ended the member or prevented its start, or
+// nil.
 func (s *step) memberFailure(m *member) *controlpb.TaskFailure {
 	switch {
-	case m.phase == phaseFailed && m.report != nil:
-		return s.taskFailure(m, m.report.Code, m.report.Detail)
+	case m.phase == phaseFailed && m.endReport != nil:
+		return s.taskFailure(m, m.endReport.Code, m.endReport.Detail)
 	case m.phase == phaseFailed:
 		return s.taskFailure(m, string(failure.TaskFailed), "the task ended while it was started")
 	case m.phase == phaseStopped:
-		return s.infrastructure(m, failure.LeaseLost, "the worker ended the task")
-	case m.refused != nil && m.phase < phaseRunning:
-		// Of a run that shows at its worker a refused start says nothing: it had waited
-		// at the leader while an earlier one of the same run was obeyed.
-		return s.taskFailure(m, string(m.refused.Code), m.refused.Message)
+		return s.infrastructureFailure(m, failure.LeaseLost, "the worker ended the task")
+	case m.refusal != nil && m.phase < phaseRunning:
+		// A refused start is ignored if the worker reports the run: the refused command
+		// was delayed at the leader while an earlier start of the same run succeeded.
+		return s.taskFailure(m, string(m.refusal.Code), m.refusal.Message)
 	}
 	return nil
 }
 
-func (s *step) infrastructure(m *member, code failure.Code, detail string) *controlpb.TaskFailure {
+func (s *step) infrastructureFailure(m *member, code failure.Code, detail string) *controlpb.TaskFailure {
 	return s.taskFailure(m, string(code), detail)
 }
 
@@ -114,20 +119,20 @@
 	}
 }
 
-func slowest(r *run) *member {
-	slow := r.members[0]
+func leastAdvanced(r *run) *member {
+	least := r.members[0]
 	for _, m := range r.members {
-		if m.phase < slow.phase {
-			slow = m
+		if m.phase < least.phase {
+			least = m
 		}
 	}
-	return slow
+	return least
 }
 
-// fail stops the whole gang because of one member. Only the first failure of an
-// epoch is recorded: the others follow from it, or from the same bad job, and
-// would count one attempt as several.
-func (s *step) fail(job *controlpb.Job, r *run, failed *controlpb.TaskFailure) {
+// stopOnFailure stops the whole gang because of the failure of one member. Only the first
+// failure of an epoch is recorded: the others are consequences of it or have the same
+// cause, and would count one attempt as several.
+func (s *step) stopOnFailure(job *controlpb.Job, r *run, failed *controlpb.TaskFailure) {
 	move := &controlpb.MoveJob{Job: job.Id, Epoch: job.Epoch, State: controlpb.JobState_JOB_STATE_STOPPING, Failure: failed}
 	if failed.Code == string(failure.MemoryExceeded) {
 		move.ObservedMemoryMb = r.observedMemory()
@@ -135,14 +140,14 @@
 	s.move(move)
 }
 
-// observedMemory is the most that any member was seen to use: the others of the
-// gang do the same work.
+// observedMemory returns the highest memory use that was reported at the end of a member,
+// in MB. The members do the same work, so it applies to all of them.
 func (r *run) observedMemory() uint64 {
-	var most uint64
+	var peak uint64
 	for _, m := range r.members {
-		if m.report != nil {
-			most = max(most, m.report.MemoryMb)
+		if m.endReport != nil {
+			peak = max(peak, m.endReport.MemoryMb)
 		}
 	}
-	return most
+	return peak
 }
--- a/internal/coordination/dispatch/gang/steps_test.go
+++ b/internal/coordination/dispatch/gang/steps_test.go
@@ -21,9 +21,9 @@
 	parked    = controlpb.JobState_JOB_STATE_PARKED
 )
 
-// gangOf begins a model in which a gang of the size is waiting.
-func gangOf(size int, job *controlpb.Job) *model {
-	m := newModel(steady, 3)
+// newGangModel returns a model in which one gang of the given size is waiting.
+func newGangModel(size int, job *controlpb.Job) *model {
+	m := newModel(exactClock, 3)
 	job.Id, job.Tasks, job.Accelerators = "j", uint32(size), 1
 	m.submit(job)
 	return m
@@ -40,16 +40,16 @@
 	}}})
 }
 
-func (m *model) until(t *testing.T, what string, reached func() bool) {
+func (m *model) until(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 400 {
-		if reached() {
+		if condition() {
 			return
 		}
 		m.round()
 		m.checkAll(t)
 	}
-	t.Fatalf("never: %s; job %v", what, m.job())
+	t.Fatalf("not reached within 400 rounds: %s; job %v", description, m.job())
 }
 
 func (m *model) untilState(t *testing.T, state controlpb.JobState) {
@@ -57,11 +57,11 @@
 	m.until(t, state.String(), func() bool { return m.job().State == state })
 }
 
-// liveRuns counts the runs of the job's epoch that hold accelerators at workers.
+// liveRuns counts the runs of the job's epoch that hold accelerators on workers.
 func (m *model) liveRuns(epoch uint64) int {
 	count := 0
 	for _, w := range m.workers {
-		for _, report := range w.table.Reports(w.clock.at(m.real)) {
+		for _, report := range w.table.Reports(w.clock.at(m.elapsed)) {
 			holds := report.Phase == api.PhaseReserved || report.Phase == api.PhaseRunning
 			if w.up && holds && report.Epoch == epoch {
 				count++
@@ -71,13 +71,13 @@
 	return count
 }
 
-// lifeOfAGang starts a gang, takes it back once it runs, and lets it run to its
-// end: the commands on the way are six reserves and starts, three stops, and six
-// more.
-func lifeOfAGang(t *testing.T, before func(m *model, n int, arrives, answered bool) (bool, bool)) *model {
-	m := gangOf(3, &controlpb.Job{RunTimeMs: 20000, Checkpointable: true, Idempotent: true})
+// runLifecycle starts a gang of three, preempts it once it runs, and lets it run again to
+// completion. This takes six reserves and starts, three stops, and another six reserves
+// and starts. before is called before the nth command is delivered.
+func runLifecycle(t *testing.T, before func(m *model, n int, arrives, answered bool) (bool, bool)) *model {
+	m := newGangModel(3, &controlpb.Job{RunTimeMs: 20000, Checkpointable: true, Idempotent: true})
 	n := 0
-	m.before = func(arrives, answered bool) (bool, bool) {
+	m.onDeliver = func(arrives, answered bool) (bool, bool) {
 		n++
 		return before(m, n, arrives, answered)
 	}
@@ -87,16 +87,18 @@
 	return m
 }
 
-const commandsOfALife = 15
+// lifecycleCommands is the number of commands that runLifecycle delivers without faults.
+const lifecycleCommands = 15
 
-// A third run of a gang, begun by a leader that took over between two messages.
+// A leader that takes over between any two messages continues the gang and must not start
+// another run of it.
 func TestLeaderLostBetweenAnyTwoMessages(t *testing.T) {
-	for lost := 1; lost <= commandsOfALife; lost++ {
-		t.Run(fmt.Sprint("before command ", lost), func(t *testing.T) {
+	for lostAt := 1; lostAt <= lifecycleCommands; lostAt++ {
+		t.Run(fmt.Sprint("before command ", lostAt), func(t *testing.T) {
 			is := is.New(t)
-			m := lifeOfAGang(t, func(m *model, n int, arrives, answered bool) (bool, bool) {
-				if n == lost {
-					m.newLeader(steady())
+			m := runLifecycle(t, func(m *model, n int, arrives, answered bool) (bool, bool) {
+				if n == lostAt {
+					m.replaceLeader(exactClock())
 				}
 				return arrives, answered
 			})
@@ -106,15 +108,15 @@
 	}
 }
 
-// One command, or one answer, is lost at each step of a start and a take-back.
-// The gang is stopped as a whole or goes on as a whole, and the work ends.
+// One command or one answer is lost at each step of a start and a preemption. The gang is
+// stopped or continues as a whole, and the job completes.
 func TestMessageLostAtEachStep(t *testing.T) {
-	for lost := 1; lost <= commandsOfALife; lost++ {
+	for lostAt := 1; lostAt <= lifecycleCommands; lostAt++ {
 		for name, arrives := range map[string]bool{"command": false, "answer": true} {
-			t.Run(fmt.Sprint(name, " ", lost), func(t *testing.T) {
+			t.Run(fmt.Sprint(name, " ", lostAt), func(t *testing.T) {
 				is := is.New(t)
-				m := lifeOfAGang(t, func(_ *model, n int, a, answered bool) (bool, bool) {
-					if n == lost {
+				m := runLifecycle(t, func(_ *model, n int, a, answered bool) (bool, bool) {
+					if n == lostAt {
 						return arrives, false
 					}
 					return a, answered
@@ -125,17 +127,17 @@
 	}
 }
 
-// A worker dies at each step, and comes back half a minute later.
+// A worker crashes at each step and restarts 30 s later. The job completes.
 func TestWorkerDiesAtEachStep(t *testing.T) {
-	for dies := 1; dies <= commandsOfALife; dies++ {
-		t.Run(fmt.Sprint("before command ", dies), func(t *testing.T) {
-			back := time.Duration(0)
-			lifeOfAGang(t, func(m *model, n int, arrives, answered bool) (bool, bool) {
-				if n == dies {
+	for crashAt := 1; crashAt <= lifecycleCommands; crashAt++ {
+		t.Run(fmt.Sprint("before command ", crashAt), func(t *testing.T) {
+			restartAt := time.Duration(0)
+			runLifecycle(t, func(m *model, n int, arrives, answered bool) (bool, bool) {
+				if n == crashAt {
 					m.workers[0].up = false
-					back = m.real + 30*time.Second
+					restartAt = m.elapsed + 30*time.Second
 				}
-				if back > 0 && m.real > back && !m.workers[0].up {
+				if restartAt > 0 && m.elapsed > restartAt && !m.workers[0].up {
 					m.restart(0)
 				}
 				return arrives, answered
@@ -144,19 +146,19 @@
 	}
 }
 
-// The leader cannot reach one worker, which announces itself elsewhere. It is
-// not taken as vanished: its gang runs on undisturbed.
+// A worker that the leader cannot reach but that announces itself to another instance has
+// not vanished: its gang continues in the same epoch.
 func TestWorkerCutOffFromTheLeaderIsNotVanished(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(3, &controlpb.Job{RunTimeMs: 60000})
+	m := newGangModel(3, &controlpb.Job{RunTimeMs: 60000})
 	m.untilState(t, running)
-	m.workers[0].cut = true
+	m.workers[0].partitioned = true
 	m.untilState(t, completed)
 	is.Equal(m.job().Epoch, uint64(1))
 }
 
-// A worker vanishes while its gang runs. No part may go on alone: the others are
-// stopped, the job waits with the failure recorded.
+// When a worker vanishes while its gang runs, the other members are stopped and the job
+// waits for a retry with the failure recorded.
 func TestVanishedWorkerFailsItsGang(t *testing.T) {
 	for name, vanish := range map[string]func(m *model){
 		"is gone":       func(m *model) { m.workers[0].up = false },
@@ -165,7 +167,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := gangOf(3, &controlpb.Job{RunTimeMs: 60000, Idempotent: true})
+			m := newGangModel(3, &controlpb.Job{RunTimeMs: 60000, Idempotent: true})
 			m.untilState(t, running)
 			vanish(m)
 			m.until(t, "failed", func() bool { return len(m.job().Failures) > 0 })
@@ -177,55 +179,57 @@
 	}
 }
 
-// Accelerators given back while a member that nobody reaches still runs on them.
+// The accelerators of an unreachable member are released within StopWait, but not while
+// the member still runs on them.
 func TestLeaseHasSurelyRunOut(t *testing.T) {
-	for name, hold := range map[string]func(m *model){
-		"by an instance that follows no more": func(m *model) { m.entry.cut = true },
-		"by nobody":                           func(m *model) {},
+	for name, fault := range map[string]func(m *model){
+		"renewed by a partitioned instance": func(m *model) { m.instance.partitioned = true },
+		"without a partition":               func(m *model) {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			m := gangOf(3, &controlpb.Job{RunTimeMs: 600000, Idempotent: true})
+			m := newGangModel(3, &controlpb.Job{RunTimeMs: 600000, Idempotent: true})
 			m.untilState(t, running)
-			m.workers[0].cut = true
+			m.workers[0].partitioned = true
 			m.round()
-			hold(m)
+			fault(m)
 			m.preempt()
-			from := m.real
-			m.until(t, "given back", func() bool { return m.job().Epoch == 2 || m.job().State == waiting })
-			is.True(m.real-from <= config.StopWait()+time.Second)
+			preemptedAt := m.elapsed
+			m.until(t, "accelerators released", func() bool { return m.job().Epoch == 2 || m.job().State == waiting })
+			is.True(m.elapsed-preemptedAt <= config.StopWait()+time.Second)
 			is.Equal(m.liveRuns(1), 0)
 		})
 	}
 }
 
-// The answer to an announcement reaches its worker nine seconds late, after the
-// stop was committed. Counted from its receipt, the lease would outlive the wait.
-func TestLateAnswerGivesNoNewLease(t *testing.T) {
-	m := gangOf(1, &controlpb.Job{RunTimeMs: 600000, Idempotent: true})
+// The answer to an announcement reaches its worker 9 s late, after the stop was
+// committed. If the lease counted from the receipt, it would outlast StopWait.
+func TestDelayedRenewalDoesNotExtendLease(t *testing.T) {
+	m := newGangModel(1, &controlpb.Job{RunTimeMs: 600000, Idempotent: true})
 	m.untilState(t, running)
 	w := m.workers[0]
-	w.held, w.cut = true, true
+	w.delayed, w.partitioned = true, true
 	m.round()
 	m.preempt()
-	late := len(m.replies)
-	m.entry.cut = true
+	delayedReplies := len(m.replies)
+	m.instance.partitioned = true
 	for range 18 {
 		m.round()
 	}
-	for range late {
-		m.takeReply(0)
+	for range delayedReplies {
+		m.receiveReply(0)
 	}
 	m.commands = nil
-	m.until(t, "given back", func() bool { return m.job().State != stopping })
+	m.until(t, "accelerators released", func() bool { return m.job().State != stopping })
 }
 
-// A reserve that the network held back takes accelerators that another gang has by now.
+// A reserve delayed by the network beyond StopWait must be refused: its accelerators may
+// belong to another gang by then.
 func TestLateCommandComesToNothing(t *testing.T) {
 	is := is.New(t)
-	m := newModel(steady, 3)
+	m := newModel(exactClock, 3)
 	m.round()
-	m.round() // a leader commands on an announcement that came while it leads
+	m.round() // a leader sends commands only for announcements received in its term
 	m.submit(&controlpb.Job{Id: "j", Tasks: 1, Accelerators: 1, RunTimeMs: 600000, Idempotent: true})
 	m.schedule()
 	m.step(m.leader, true)
@@ -233,83 +237,84 @@
 	reserve := m.commands[0]
 	m.commands = nil
 	m.preempt()
-	m.workers[0].held = true
-	for m.real < config.StopWait()+2*time.Second {
+	m.workers[0].delayed = true
+	for m.elapsed < config.StopWait()+2*time.Second {
 		m.round()
 		m.commands = nil
 	}
-	_, err := m.obey(m.workers[0], &reserve.command)
+	_, err := m.execute(m.workers[0], &reserve.command)
 	is.True(err != nil)
 	m.checkAll(t)
 }
 
-// Every task had ended well when the stop reached them: the work is done and must
-// not be done again.
-func TestEndsDuringAStopCount(t *testing.T) {
+// If every task had completed by the time the stop reached its worker, the job is
+// completed and must not run again.
+func TestCompletionsDuringStopAreRecorded(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(2, &controlpb.Job{RunTimeMs: 1000, Idempotent: true})
+	m := newGangModel(2, &controlpb.Job{RunTimeMs: 1000, Idempotent: true})
 	m.untilState(t, running)
-	m.real += 2 * time.Second
+	m.elapsed += 2 * time.Second
 	m.preempt()
 	m.round()
 	is.Equal(m.job().State, completed)
 }
 
-// A worker takes work that is not idempotent and starts again: nobody can say
-// whether it was done. It is parked for a person to look at.
-func TestUnknownOutcomeOfWorkThatIsNotIdempotent(t *testing.T) {
+// A worker restarts while it runs a job that is not idempotent, so the outcome is
+// unknown. The job is parked for an operator to decide.
+func TestNonIdempotentJobWithUnknownOutcomeIsParked(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(1, &controlpb.Job{RunTimeMs: 60000})
+	m := newGangModel(1, &controlpb.Job{RunTimeMs: 60000})
 	m.untilState(t, running)
 	m.restart(0)
 	m.untilState(t, parked)
 	is.Equal(m.job().Failures[1].Code, "outcome_unknown")
 }
 
-// checkAll looks at every worker.
-func (m *model) checkAll(t failer) {
+// checkAll checks the runs reported by all workers that are up.
+func (m *model) checkAll(t fataler) {
 	t.Helper()
 	for _, w := range m.workers {
 		if !w.up {
 			continue
 		}
-		for _, report := range w.table.Reports(w.clock.at(m.real)) {
+		for _, report := range w.table.Reports(w.clock.at(m.elapsed)) {
 			m.checkRun(t, w, report)
 		}
 	}
 }
 
-// An instance that has just started leads, and has heard of no worker yet. If
-// it took them for dead, a restart of the system would stop every gang.
-func TestNewLeaderThatHasHeardOfNoWorkerDisturbsNothing(t *testing.T) {
+// A leader that has just started has received no announcements yet. If it took all
+// workers for dead, a restart of the system would stop every gang.
+func TestNewLeaderWithoutAnnouncementsKeepsGangsRunning(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(3, &controlpb.Job{RunTimeMs: 60000})
+	m := newGangModel(3, &controlpb.Job{RunTimeMs: 60000})
 	m.untilState(t, running)
-	m.newLeader(steady())
+	m.replaceLeader(exactClock())
 	for _, w := range m.workers {
 		w.announced = nil
 	}
-	m.real += 2 * time.Second
+	m.elapsed += 2 * time.Second
 	m.step(m.leader, true)
 	m.untilState(t, completed)
 	is.Equal(m.job().Epoch, uint64(1))
 }
 
-// An attempt too many: a new leader names an announcement that is older than any lease.
+// A new leader must not send commands that refer to an announcement older than any lease:
+// the worker would refuse them, which would cost the job an attempt.
 func TestNewLeaderCommandsOnNoAnnouncementOfUnknownAge(t *testing.T) {
 	is := is.New(t)
-	m := newModel(steady, 3)
+	m := newModel(exactClock, 3)
 	m.round()
-	var first []*peerpb.Upstream
+	var oldAnnouncements []*peerpb.Upstream
 	for _, w := range m.workers {
-		first = append(first, w.announced)
+		oldAnnouncements = append(oldAnnouncements, w.announced)
 	}
-	for began := m.real; m.real <= began+config.Lease; {
+	for beganAt := m.elapsed; m.elapsed <= beganAt+config.Lease; {
 		m.round()
 	}
-	m.newLeader(steady())
+	m.replaceLeader(exactClock())
 	for i, w := range m.workers {
-		w.announced = first[i]
+		w.announced = oldAnnouncements[i]
 	}
 	m.submit(&controlpb.Job{Id: "j", Tasks: 3, Accelerators: 1, RunTimeMs: 5000})
 	m.schedule()
@@ -320,10 +325,11 @@
 	is.Equal(len(m.job().Failures), 0)
 }
 
-// Parts of a gang that run alone, since a new leader may command only some of its workers.
-func TestNewLeaderStartsNoPartOfAGangAlone(t *testing.T) {
+// A new leader that may send commands to only some of a gang's workers must not start
+// these members without the others.
+func TestNewLeaderStartsGangOnlyAsAWhole(t *testing.T) {
 	is := is.New(t)
-	m := newModel(steady, 3)
+	m := newModel(exactClock, 3)
 	m.round()
 	m.round()
 	m.submit(&controlpb.Job{Id: "j", Tasks: 6, Accelerators: 1, RunTimeMs: 5000})
@@ -333,15 +339,15 @@
 	m.deliverAll()
 	for _, w := range m.workers {
 		m.announce(w)
-		m.hear(0)
+		m.receiveAnnouncement(0)
 	}
-	m.newLeader(steady())
+	m.replaceLeader(exactClock())
 	m.step(m.leader, true)
 	for _, w := range m.workers {
-		m.real += 100 * time.Millisecond
+		m.elapsed += 100 * time.Millisecond
 		is.Equal(len(m.commands), 0)
 		m.announce(w)
-		m.hear(0)
+		m.receiveAnnouncement(0)
 		m.step(m.leader, true)
 	}
 	is.Equal(len(m.commands), 6) // the starts
@@ -350,29 +356,30 @@
 	is.Equal(m.job().Attempts, uint32(1))
 }
 
-// Two of three members acknowledge a stop and the leader is lost: the next one
-// finds their word in the log and waits for the third only.
-func TestAcknowledgementsOutliveTheLeader(t *testing.T) {
+// Two of three workers acknowledge a stop, then the leader is lost. The next one finds
+// the acknowledgements in the log and waits for the third worker only.
+func TestStopAcknowledgementsSurviveLeaderChange(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(6, &controlpb.Job{RunTimeMs: 600000, Checkpointable: true})
+	m := newGangModel(6, &controlpb.Job{RunTimeMs: 600000, Checkpointable: true})
 	m.untilState(t, running)
-	m.workers[0].cut = true
-	m.workers[0].held = true
+	m.workers[0].partitioned = true
+	m.workers[0].delayed = true
 	m.preempt()
 	m.round()
 	is.Equal(len(m.job().StoppedTasks), 4)
-	is.True(holds(m.job(), 0) && !holds(m.job(), 5)) // only the silent ones wait
-	m.newLeader(steady())
+	is.True(holdsAccelerators(m.job(), 0) && !holdsAccelerators(m.job(), 5)) // only unacknowledged members keep their accelerators
+	m.replaceLeader(exactClock())
 	m.workers[1].up, m.workers[2].up = false, false
-	m.workers[0].cut, m.workers[0].held = false, false
-	m.until(t, "given back", func() bool { return m.job().State != stopping })
-	is.True(m.job().State == waiting) // not parked: every member said how it ended
+	m.workers[0].partitioned, m.workers[0].delayed = false, false
+	m.until(t, "accelerators released", func() bool { return m.job().State != stopping })
+	is.True(m.job().State == waiting) // not parked: the outcome of every member is known
 }
 
-// A gang that loses more work than was done since its last common checkpoint.
-func TestVanishedWorkerLosesWorkSinceTheLastCheckpointOnly(t *testing.T) {
+// A gang that loses a worker loses no more work than was done since its last common
+// checkpoint.
+func TestVanishedWorkerLosesOnlyWorkSinceCheckpoint(t *testing.T) {
 	is := is.New(t)
-	m := gangOf(6, &controlpb.Job{RunTimeMs: 60000, Checkpointable: true, Idempotent: true})
+	m := newGangModel(6, &controlpb.Job{RunTimeMs: 60000, Checkpointable: true, Idempotent: true})
 	for i, w := range m.workers {
 		w.options.CheckpointEvery = 5 * time.Second
 		m.restart(i)
--- a/internal/coordination/dispatch/gang/stopping.go
+++ b/internal/coordination/dispatch/gang/stopping.go
@@ -10,86 +10,90 @@
 )
 
 const (
-	firstStopRetry = 200 * time.Millisecond
-	lastStopRetry  = 2 * time.Second
+	minStopRetryDelay = 200 * time.Millisecond
+	maxStopRetryDelay = 2 * time.Second
 )
 
-// stopRetry is the pause before a stop that failed is sent again.
-func stopRetry(tries int) time.Duration {
-	return min(firstStopRetry<<min(tries-1, 8), lastStopRetry)
+// stopRetryDelay returns the delay before a stop is sent again after that many failures:
+// exponential, up to maxStopRetryDelay.
+func stopRetryDelay(failedStops int) time.Duration {
+	return min(minStopRetryDelay<<min(failedStops-1, 8), maxStopRetryDelay)
 }
 
-// stopping ends every member and frees the accelerators only when each has said
-// that it runs no more, or StopWait is over and its lease has surely run out.
-// Only members that did not acknowledge are waited for, and what others said is
-// in the log, so neither a lost answer nor a new leader asks them again. A new
-// leader counts the wait from when its own replica had the stop, whoever led then:
-// the clock of the leader before it says nothing.
+// stopping handles a job in state STOPPING. It stops every member, and releases the
+// accelerators only when each member has acknowledged that it no longer runs or its
+// lease has certainly expired, after StopWait. Acknowledgements are recorded in the log,
+// so that a lost answer or a new leader does not make it stop these members again. A new
+// leader counts StopWait from when its own replica had the stop, whichever instance led
+// then: times on the previous leader's clock cannot be compared with its own.
 func (s *step) stopping(job *controlpb.Job, r *run) {
 	if s.in.LeaseOver != nil && !r.mayHaveStarted {
-		// No start has left, so there is nothing to stop and no lease to wait for. A
-		// gang with a member on a worker that was cut off waited for 6 s here.
+		// No start command was sent, so there is nothing to stop and no lease to wait
+		// for. Without this case, a gang with a member on a partitioned worker was
+		// released only after 6 s.
 		s.release(job, r, 0)
 		return
 	}
-	s.finish(job, r)
-	silent, overdue := 0, true
+	s.recordCompletions(job, r)
+	unacknowledged, leasesExpired := 0, true
 	for _, m := range r.members {
-		if stopped(job, m) {
+		if endKnown(job, m) {
 			continue
 		}
-		silent++
-		overdue = overdue && s.leaseOver(m, r)
+		unacknowledged++
+		leasesExpired = leasesExpired && s.leaseExpired(m, r)
 		w := s.workers[m.placement.Worker]
-		if m.awaiting == 0 && w != nil && !s.in.Now.Before(m.retry) {
+		if m.awaiting == 0 && w != nil && !s.in.Now.Before(m.retryAt) {
 			s.send(Stop, job, m, w)
 		}
 	}
-	if silent > 0 && !overdue {
-		s.acknowledge(job, r)
+	if unacknowledged > 0 && !leasesExpired {
+		s.recordStops(job, r)
 		return
 	}
-	s.release(job, r, silent)
+	s.release(job, r, unacknowledged)
 }
 
-// leaseOver tells that a member that did not acknowledge surely runs no more.
-func (s *step) leaseOver(m *member, r *run) bool {
+// leaseExpired reports whether the lease of a member that did not acknowledge the stop
+// has certainly expired.
+func (s *step) leaseExpired(m *member, r *run) bool {
 	if s.in.LeaseOver != nil {
 		return s.in.LeaseOver(m.placement.Worker)
 	}
 	return s.in.Now.Sub(r.since) >= s.config.StopWait()
 }
 
-// acknowledge records who has stopped while others have not.
-func (s *step) acknowledge(job *controlpb.Job, r *run) {
+// recordStops records the stops that were acknowledged while others are outstanding.
+func (s *step) recordStops(job *controlpb.Job, r *run) {
 	for _, m := range r.members {
 		if !m.phase.ended() || m.phase == phaseCompleted || store.StopAcknowledged(job, m.placement.Task) {
 			continue
 		}
 		s.batch().Stopped = append(s.batch().Stopped, &controlpb.StopAcknowledged{
 			Job: job.Id, Epoch: job.Epoch,
-			Stopped: &controlpb.StoppedTask{Task: m.placement.Task, CheckpointedMs: m.checkpointedMs, OutcomeUnknown: m.unknown, Checkpoint: m.checkpoint},
+			Stopped: &controlpb.StoppedTask{Task: m.placement.Task, CheckpointedMs: m.checkpointedMs, OutcomeUnknown: m.outcomeUnknown, Checkpoint: m.checkpoint},
 		})
 	}
 }
 
-// release gives the accelerators back and says where the job goes.
-func (s *step) release(job *controlpb.Job, r *run, silent int) {
+// release frees the accelerators and decides the job's next state.
+func (s *step) release(job *controlpb.Job, r *run, unacknowledged int) {
 	move := &controlpb.MoveJob{
 		Job: job.Id, Epoch: job.Epoch,
 		State:          job.NextState,
-		CheckpointedMs: checkpoint(job, r),
-		Checkpoint:     r.namedCheckpoint(),
-		Failure:        s.lateFailure(job, r),
+		CheckpointedMs: commonCheckpoint(job, r),
+		Checkpoint:     r.selectCheckpoint(),
+		Failure:        s.failureDuringStop(job, r),
 	}
 	if job.NextState == controlpb.JobState_JOB_STATE_WAITING {
-		s.decideRetry(job, r, silent, move)
+		s.decideRetry(job, r, unacknowledged, move)
 	}
 	s.move(move)
 }
 
-// checkpoint is what every member has kept: a gang goes on from the least.
-func checkpoint(job *controlpb.Job, r *run) int64 {
+// commonCheckpoint returns the work covered by the checkpoints of all members, in ms: a
+// gang resumes from the smallest one.
+func commonCheckpoint(job *controlpb.Job, r *run) int64 {
 	if !job.Checkpointable {
 		return job.CheckpointedMs
 	}
@@ -97,35 +101,36 @@
 	for _, t := range job.StoppedTasks {
 		recorded[t.Task] = t.CheckpointedMs
 	}
-	least := int64(-1)
+	minimum := int64(-1)
 	for _, m := range r.members {
-		if m.phase == phaseCompleted || done(job, m) {
+		if m.phase == phaseCompleted || completionRecorded(job, m) {
 			continue
 		}
-		kept := max(recorded[m.placement.Task], m.checkpointedMs)
-		if least < 0 || kept < least {
-			least = kept
+		checkpointed := max(recorded[m.placement.Task], m.checkpointedMs)
+		if minimum < 0 || checkpointed < minimum {
+			minimum = checkpointed
 		}
 	}
-	return max(least, job.CheckpointedMs)
+	return max(minimum, job.CheckpointedMs)
 }
 
-// namedCheckpoint is one that a member's worker named: one that was written at
-// the stop, or else the newest seen. Any member's is good for the whole gang.
-func (r *run) namedCheckpoint() string {
-	newest := ""
+// selectCheckpoint returns the name of a checkpoint reported by a member's worker, or "":
+// preferably one written at the stop, else the newest of some member. The checkpoint of
+// any member is valid for the whole gang.
+func (r *run) selectCheckpoint() string {
+	selected := ""
 	for _, m := range r.members {
-		if m.checkpoint != "" && (newest == "" || m.phase == phaseStopped) {
-			newest = m.checkpoint
+		if m.checkpoint != "" && (selected == "" || m.phase == phaseStopped) {
+			selected = m.checkpoint
 		}
 	}
-	return newest
+	return selected
 }
 
-// lateFailure is a member's own failure that came after the stop had another
-// reason, as when its companions' ends were heard first. Left out, the gang would
-// be tried once more than its attempts allow.
-func (s *step) lateFailure(job *controlpb.Job, r *run) *controlpb.TaskFailure {
+// failureDuringStop returns the failure of a member that was reported after the gang was
+// stopped for another reason, as happens when the ends of other members are reported
+// first. Without it the gang would get one attempt more than MaxAttempts.
+func (s *step) failureDuringStop(job *controlpb.Job, r *run) *controlpb.TaskFailure {
 	if job.MaxAttempts == 0 || job.FailedEpoch == job.Epoch {
 		return nil
 	}
@@ -135,15 +140,15 @@
 	return nil
 }
 
-// decideRetry sends the job back to waiting with a pause, or parks it.
-func (s *step) decideRetry(job *controlpb.Job, r *run, silent int, move *controlpb.MoveJob) {
-	if why := s.notRepeatable(job, r, silent); why != "" {
+// decideRetry returns the job to the queue with a backoff, or parks it.
+func (s *step) decideRetry(job *controlpb.Job, r *run, unacknowledged int, move *controlpb.MoveJob) {
+	if reason := s.unsafeToRetry(job, r, unacknowledged); reason != "" {
 		move.State = controlpb.JobState_JOB_STATE_PARKED
-		move.Failure = &controlpb.TaskFailure{Code: string(failure.OutcomeUnknown), Detail: why, TimeMs: s.in.Now.UnixMilli()}
+		move.Failure = &controlpb.TaskFailure{Code: string(failure.OutcomeUnknown), Detail: reason, TimeMs: s.in.Now.UnixMilli()}
 		return
 	}
 	if job.MaxAttempts > 0 {
-		decideBounded(job, s.in.Now, move)
+		decideBoundedRetry(job, s.in.Now, move)
 		return
 	}
 	if job.Preempted {
@@ -156,25 +161,25 @@
 	move.NotBeforeMs = s.in.Now.Add(backoff(job)).UnixMilli()
 }
 
-// notRepeatable says why work that is not idempotent must not run again: a
-// member that never said how it ended may have done its work, and one that ended
-// well has. A person has to look; running it again could do it twice.
-func (s *step) notRepeatable(job *controlpb.Job, r *run, silent int) string {
+// unsafeToRetry returns why a job that is not idempotent must not run again, or "". A
+// member that completed has done its work, and one with an unknown outcome may have. An
+// operator has to decide, because a retry could do the work twice.
+func (s *step) unsafeToRetry(job *controlpb.Job, r *run, unacknowledged int) string {
 	if job.Idempotent {
 		return ""
 	}
 	for _, m := range r.members {
-		if m.phase == phaseCompleted || done(job, m) {
+		if m.phase == phaseCompleted || completionRecorded(job, m) {
 			return "a part of work that is not idempotent was done before the gang was stopped"
 		}
 	}
-	if r.mayHaveStarted && (silent > 0 || r.outcomeUnknown(job)) {
+	if r.mayHaveStarted && (unacknowledged > 0 || r.outcomeUnknown(job)) {
 		return "work that is not idempotent ran on a worker that cannot say how it ended"
 	}
 	return ""
 }
 
 func (r *run) outcomeUnknown(job *controlpb.Job) bool {
-	return slices.ContainsFunc(r.members, func(m *member) bool { return m.unknown }) ||
+	return slices.ContainsFunc(r.members, func(m *member) bool { return m.outcomeUnknown }) ||
 		slices.ContainsFunc(job.StoppedTasks, func(t *controlpb.StoppedTask) bool { return t.OutcomeUnknown })
 }
--- a/internal/coordination/dispatch/gang/stops.go
+++ b/internal/coordination/dispatch/gang/stops.go
@@ -6,37 +6,39 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// stops are the jobs that are being stopped, with since when this instance has known
-// that the stop is committed. They outlive a term: a leader that counted StopWait from
-// its election would never end a stop where leaders are lost more often than that, and
-// the job would wait for as long.
+// stops holds, by job ID, when this instance learned that the stop of a job is committed.
+// It is kept across leadership terms: if each leader counted StopWait from its election,
+// a stop would never end while leaders change more often than that, and the job would
+// never be released.
 type stops map[string]stop
 
 type stop struct {
-	epoch uint64
-	known time.Time
+	epoch      uint64
+	observedAt time.Time
 }
 
-// upTo gives the stops of a newer state. An epoch is stopped once at most.
-func (s stops) upTo(now time.Time, jobs []*controlpb.Job) stops {
+// observe returns the stops of a newer state. An epoch is stopped at most once, so the
+// time recorded for the same epoch is kept.
+func (s stops) observe(now time.Time, jobs []*controlpb.Job) stops {
 	next := stops{}
 	for _, job := range jobs {
 		if job.State != controlpb.JobState_JOB_STATE_STOPPING {
 			continue
 		}
-		known := stop{epoch: job.Epoch, known: now}
-		if earlier, ok := s[job.Id]; ok && earlier.epoch == job.Epoch {
-			known = earlier
+		entry := stop{epoch: job.Epoch, observedAt: now}
+		if previous, ok := s[job.Id]; ok && previous.epoch == job.Epoch {
+			entry = previous
 		}
-		next[job.Id] = known
+		next[job.Id] = entry
 	}
 	return next
 }
 
-// since is from when the job's state counts: from now but for a stop that is known.
+// since returns the time from which the job's state counts: the recorded time of a
+// known stop, else now.
 func (s stops) since(job *controlpb.Job, now time.Time) time.Time {
-	if known, ok := s[job.Id]; ok && known.epoch == job.Epoch && job.State == controlpb.JobState_JOB_STATE_STOPPING {
-		return known.known
+	if entry, ok := s[job.Id]; ok && entry.epoch == job.Epoch && job.State == controlpb.JobState_JOB_STATE_STOPPING {
+		return entry.observedAt
 	}
 	return now
 }
--- a/internal/coordination/dispatch/gang/stops_test.go
+++ b/internal/coordination/dispatch/gang/stops_test.go
@@ -11,50 +11,51 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// leaderLife is shorter than StopWait.
-const leaderLife = 4 * time.Second
+// leaderLifetime is shorter than StopWait.
+const leaderLifetime = 4 * time.Second
 
-// stoppingGang is a gang that is being stopped since one of its workers is lost.
-func stoppingGang(t *testing.T) *model {
-	m := gangOf(3, &controlpb.Job{RunTimeMs: 60000, Idempotent: true})
+// newStoppingGangModel returns a model with a gang that is being stopped because one of
+// its workers was lost.
+func newStoppingGangModel(t *testing.T) *model {
+	m := newGangModel(3, &controlpb.Job{RunTimeMs: 60000, Idempotent: true})
 	m.untilState(t, running)
 	m.worker("w0").up = false
 	m.untilState(t, stopping)
 	return m
 }
 
-// A stop that no leader lives long enough to end: each counted the wait for a silent
-// member's lease anew.
+// A stop must end even if every leader is lost before StopWait has passed. It would not
+// if each leader restarted the wait for the lease of an unreachable member.
 func TestStopEndsThoughLeadersAreLost(t *testing.T) {
 	is := is.New(t)
-	m := stoppingGang(t)
-	stopped := m.real
-	led := m.real
+	m := newStoppingGangModel(t)
+	stoppedAt := m.elapsed
+	electedAt := m.elapsed
 	m.until(t, "the end of the stop", func() bool {
-		if m.real-led >= leaderLife {
-			m.alternate()
-			led = m.real
+		if m.elapsed-electedAt >= leaderLifetime {
+			m.promoteStandby()
+			electedAt = m.elapsed
 		}
 		return m.job().State != stopping
 	})
-	is.True(m.real-stopped <= config.StopWait()+leaderLife)
+	is.True(m.elapsed-stoppedAt <= config.StopWait()+leaderLifetime)
 }
 
-// A leader that was not there when the stop was committed waits in full.
+// A leader that was not running when the stop was committed waits for the full StopWait.
 func TestLeaderThatHasJustStartedWaitsInFull(t *testing.T) {
 	is := is.New(t)
-	m := stoppingGang(t)
-	for stopped := m.real; m.real-stopped < config.StopWait()/2; {
+	m := newStoppingGangModel(t)
+	for stoppedAt := m.elapsed; m.elapsed-stoppedAt < config.StopWait()/2; {
 		m.round()
 	}
-	m.newLeader(steady())
-	led := m.real
+	m.replaceLeader(exactClock())
+	electedAt := m.elapsed
 	m.until(t, "the end of the stop", func() bool { return m.job().State != stopping })
-	is.True(m.real-led >= config.StopWait())
+	is.True(m.elapsed-electedAt >= config.StopWait())
 }
 
-// A stop of a later epoch that takes over the wait of an earlier one, of which the end
-// was never seen: its accelerators would be given away under runs that go on.
+// The stop of a later epoch must not inherit the wait of an earlier epoch whose end this
+// instance never saw: accelerators would be released while tasks still run on them.
 func TestStopOfALaterEpochIsWaitedForAnew(t *testing.T) {
 	is := is.New(t)
 	machine, now := gang.New(config), epochStart
--- a/internal/coordination/dispatch/gang/unstarted_test.go
+++ b/internal/coordination/dispatch/gang/unstarted_test.go
@@ -14,17 +14,17 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// leased is a machine over workers whose leases the leader renews, none of which is
-// over, and a job with a member on each of two of them.
-type leased struct {
+// leaderRenewalModel is a machine with two workers whose leases the leader renews and
+// which have not expired, and a job with a member on each of them.
+type leaderRenewalModel struct {
 	machine *gang.Machine
 	now     time.Time
 	job     *controlpb.Job
 	workers []*peerpb.Upstream
 }
 
-func newLeased() *leased {
-	l := &leased{
+func newLeaderRenewalModel() *leaderRenewalModel {
+	l := &leaderRenewalModel{
 		machine: gang.New(gang.Config{Lease: 5 * time.Second, AnnounceEvery: 500 * time.Millisecond, CommandTimeout: time.Second}),
 		now:     time.UnixMilli(1_800_000_000_000),
 		job:     &controlpb.Job{Id: "j", Tasks: 2, Epoch: 1, Idempotent: true, MaxAttempts: 2, State: controlpb.JobState_JOB_STATE_STARTING, NextState: waiting},
@@ -33,17 +33,17 @@
 		l.workers = append(l.workers, &peerpb.Upstream{Id: id, Incarnation: 1, Version: 1})
 		l.job.Placements = append(l.job.Placements, &controlpb.Placement{Task: uint32(task), Worker: id, Incarnation: 1})
 	}
-	// A leader that has led for a while knows that no other has started the job.
-	l.machine.Step(&gang.Input{Now: l.now, Workers: l.workers, LeaseOver: notOver})
+	// After a minute of leadership the leader knows that no other has started the job.
+	l.machine.Step(&gang.Input{Now: l.now, Workers: l.workers, LeaseOver: leaseNotExpired})
 	l.now = l.now.Add(time.Minute)
 	return l
 }
 
-func notOver(string) bool { return false }
+func leaseNotExpired(string) bool { return false }
 
-func (l *leased) step(answers ...gang.Answer) *gang.Output {
+func (l *leaderRenewalModel) step(answers ...gang.Answer) *gang.Output {
 	l.now = l.now.Add(10 * time.Millisecond)
-	return l.machine.Step(&gang.Input{Now: l.now, Jobs: []*controlpb.Job{l.job}, Workers: l.workers, Answers: answers, LeaseOver: notOver})
+	return l.machine.Step(&gang.Input{Now: l.now, Jobs: []*controlpb.Job{l.job}, Workers: l.workers, Answers: answers, LeaseOver: leaseNotExpired})
 }
 
 func answerOf(kind gang.Kind, task uint32, err *failure.Error) gang.Answer {
@@ -54,27 +54,28 @@
 	return answer
 }
 
-// A gang that waits out the lease of a worker on which no member was ever started.
-func TestGangThatWasNotStartedWaitsForNoLease(t *testing.T) {
-	is, l := is.New(t), newLeased()
-	asked := l.step()
-	is.Equal(len(asked.Commands), 2)
-	for _, command := range asked.Commands {
+// A gang of which no member was ever started must be released without waiting for the
+// lease of an unreachable worker.
+func TestUnstartedGangIsReleasedWithoutLeaseWait(t *testing.T) {
+	is, l := is.New(t), newLeaderRenewalModel()
+	reserving := l.step()
+	is.Equal(len(reserving.Commands), 2)
+	for _, command := range reserving.Commands {
 		is.Equal(command.Kind, gang.Reserve)
 	}
 	is.Equal(len(l.step(answerOf(gang.Reserve, 0, nil)).Commands), 0)
 	failed := l.step(answerOf(gang.Reserve, 1, failure.New(failure.Unreachable, "cut off")))
 	is.Equal(failed.Batch.Moves[0].State, stopping)
 	l.job.State = stopping
-	over := l.step()
-	is.Equal(len(over.Commands), 0)
-	is.Equal(over.Batch.Moves[0].State, waiting)
+	released := l.step()
+	is.Equal(len(released.Commands), 0)
+	is.Equal(released.Batch.Moves[0].State, waiting)
 }
 
-// Once a start has left, the member that does not answer may run until its lease is
-// over, and the job waits for that.
-func TestGangWithAStartOnItsWayWaitsForTheLease(t *testing.T) {
-	is, l := is.New(t), newLeased()
+// Once a start was sent, a member that does not answer may run until its lease expires,
+// so the job waits for that.
+func TestGangWithPendingStartWaitsForLeaseExpiry(t *testing.T) {
+	is, l := is.New(t), newLeaderRenewalModel()
 	l.step()
 	started := l.step(answerOf(gang.Reserve, 0, nil), answerOf(gang.Reserve, 1, nil))
 	is.Equal(len(started.Commands), 2)
@@ -86,9 +87,10 @@
 	is.True(stops.Batch == nil || len(stops.Batch.Moves) == 0)
 }
 
-// A gang that runs is stopped because a later start of the same run was withheld.
+// A refused start must not stop a running gang if an earlier start of the same run
+// succeeded.
 func TestRefusedStartOfARunThatShowsEndsNothing(t *testing.T) {
-	is, l := is.New(t), newLeased()
+	is, l := is.New(t), newLeaderRenewalModel()
 	l.step()
 	l.step(answerOf(gang.Reserve, 0, nil), answerOf(gang.Reserve, 1, nil))
 	for task, w := range l.workers {
