--- a/internal/coordination/consensus/bench_test.go
+++ b/internal/coordination/consensus/bench_test.go
@@ -12,35 +12,37 @@
 
 const (
 	commandBytes = 200
-	// identityBytes is what a real identity is longer than the network's ones:
-	// 26 characters of ULID in place of one.
+	// identityBytes is the difference in length between a real identity, which contains
+	// a ULID of 26 characters, and the simulation's, which has one character in its
+	// place.
 	identityBytes = 25
 )
 
-// ready gives a cluster with a leader that has committed, unchecked.
-func ready(voters int) (*world, *replica) {
-	config := calm
+// benchmarkSimulation returns a simulation without checks and disks, and its leader,
+// which has committed an entry of its term.
+func benchmarkSimulation(voters int) (*simulation, *replica) {
+	config := typicalConfig
 	config.MaxAppendBytes, config.MaxInflight = 128<<10, 32
-	w := newWorld(1, voters, config, planted{})
-	leader, _ := w.led()
-	w.unchecked = true
-	for _, r := range w.replicas {
-		r.disk.none = true
+	sim := newSimulation(1, voters, config, injectedFaults{})
+	leader, _ := sim.electLeader()
+	sim.unchecked = true
+	for _, r := range sim.replicas {
+		r.disk.discard = true
 	}
-	return w, leader
+	return sim, leader
 }
 
-// measure repeats an event and gives messages and bytes of all replicas, and
-// their processor time together, for each unit of it.
-func measure(b *testing.B, w *world, units int, unit string, event func()) {
+// measure repeats an event and reports, per unit of it, the messages and bytes sent by
+// all replicas and their total processor time.
+func measure(b *testing.B, sim *simulation, units int, unit string, event func()) {
 	messages, bytes := 0, 0
-	w.sent = func(m *consensuspb.Message) {
+	sim.onSend = func(m *consensuspb.Message) {
 		messages++
 		bytes += proto.Size(m) + 2*identityBytes
 	}
 	for b.Loop() {
 		event()
-		w.forget()
+		sim.compactLogs()
 	}
 	all := float64(b.N * units)
 	b.ReportMetric(float64(messages)/all, "messages/"+unit)
@@ -52,31 +54,31 @@
 	for _, voters := range []int{3, 5, 7} {
 		for _, batch := range []int{1, 8, 64} {
 			b.Run(fmt.Sprintf("voters=%d/batch=%d", voters, batch), func(b *testing.B) {
-				w, leader := ready(voters)
+				sim, leader := benchmarkSimulation(voters)
 				commands := slices.Repeat([][]byte{make([]byte, commandBytes)}, batch)
-				measure(b, w, batch, "command", func() {
+				measure(b, sim, batch, "command", func() {
 					_, _ = leader.node.Propose(commands...)
-					w.drain()
+					sim.drain()
 				})
 			})
 		}
 	}
 }
 
-// BenchmarkIdleTick: heartbeats every second tick, and their answers.
+// BenchmarkIdleTick measures heartbeats, sent every second tick, and their replies.
 func BenchmarkIdleTick(b *testing.B) {
 	for _, voters := range []int{3, 5, 7} {
 		b.Run(fmt.Sprintf("voters=%d", voters), func(b *testing.B) {
-			w, _ := ready(voters)
-			measure(b, w, 1, "tick", w.round)
+			sim, _ := benchmarkSimulation(voters)
+			measure(b, sim, 1, "tick", sim.round)
 		})
 	}
 }
 
-// forget compacts what a benchmark has left behind.
-func (w *world) forget() {
-	for _, r := range w.replicas {
-		r.view.acknowledgedAt = r.view.acknowledgedAt[:1]
+// compactLogs bounds the memory that a benchmark uses.
+func (sim *simulation) compactLogs() {
+	for _, r := range sim.replicas {
+		r.history.acknowledgedTermAt = r.history.acknowledgedTermAt[:1]
 		if r.node.log.applied-r.node.log.base > 4096 {
 			r.node.Compact(r.node.log.applied)
 		}
--- a/internal/coordination/consensus/change.go
+++ b/internal/coordination/consensus/change.go
@@ -7,18 +7,20 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// changeOf finds the one member in which next differs.
-func changeOf(old, next *consensuspb.Configuration) (before, after *consensuspb.Member, err error) {
+// memberDiff returns the single member in which next differs from old: its state
+// before, nil if it is added, and after, nil if it is removed. It fails unless exactly
+// one member differs.
+func memberDiff(old, next *consensuspb.Configuration) (before, after *consensuspb.Member, err error) {
 	seen := map[string]bool{}
 	changes := 0
 	for _, m := range next.GetMembers() {
 		if seen[m.Identity] || m.Identity == "" {
-			return nil, nil, failure.New(failure.BadRequest, "member %q stands twice or has no identity", m.Identity)
+			return nil, nil, failure.New(failure.BadRequest, "member %q is listed twice or has no identity", m.Identity)
 		}
 		seen[m.Identity] = true
-		was := member(old, m.Identity)
-		if was == nil || was.Voter != m.Voter {
-			before, after = was, m
+		previous := member(old, m.Identity)
+		if previous == nil || previous.Voter != m.Voter {
+			before, after = previous, m
 			changes++
 		}
 	}
@@ -29,40 +31,40 @@
 		}
 	}
 	if changes != 1 {
-		return nil, nil, failure.New(failure.BadRequest, "%d members differ where one may", changes)
+		return nil, nil, failure.New(failure.BadRequest, "%d members differ; a change must affect exactly one", changes)
 	}
 	return before, after, nil
 }
 
 func (n *Node) checkChange(next *consensuspb.Configuration) error {
-	before, after, err := changeOf(n.configurations.newest(), next)
+	before, after, err := memberDiff(n.configurations.newest(), next)
 	if err != nil {
 		return err
 	}
 	switch {
 	case before == nil && after.Voter:
-		return failure.New(failure.BadRequest, "%s must be a learner before it is a voter", after.Identity)
+		return failure.New(failure.BadRequest, "%s must be added as a learner before it can become a voter", after.Identity)
 	case after != nil && before != nil && !after.Voter:
-		return failure.New(failure.BadRequest, "voter %s can be removed but not made a learner", after.Identity)
+		return failure.New(failure.BadRequest, "voter %s cannot be demoted to a learner, only removed", after.Identity)
 	case after != nil && before != nil:
 		if err := n.checkPromotion(after.Identity); err != nil {
 			return err
 		}
 	}
-	return n.checkQuorum(next)
+	return n.checkLiveQuorum(next)
 }
 
 func (n *Node) checkPromotion(identity string) error {
 	p := n.progressOf(identity)
 	if p == nil || !n.caughtUp(p) {
-		return failure.New(failure.NotCaughtUp, "learner %s lags behind the log", identity)
+		return failure.New(failure.NotCaughtUp, "learner %s has not caught up with the log", identity)
 	}
 	return nil
 }
 
-// checkQuorum refuses a change after which the voters that answer now could
-// not commit, not even the change back.
-func (n *Node) checkQuorum(next *consensuspb.Configuration) error {
+// checkLiveQuorum rejects a change after which the voters that are live now could not
+// commit anything, not even the reverse change.
+func (n *Node) checkLiveQuorum(next *consensuspb.Configuration) error {
 	identities := voters(next)
 	live := 0
 	for _, identity := range identities {
@@ -71,16 +73,16 @@
 			live++
 		}
 	}
-	need := quorumOf(len(identities))
+	need := quorumSize(len(identities))
 	if live < need {
-		return failure.New(failure.NoQuorum, "%d of %d voters would be live and %d are needed", live, len(identities), need)
+		return failure.New(failure.NoQuorum, "only %d of %d voters would be live; %d are required", live, len(identities), need)
 	}
 	return nil
 }
 
-// settleConfiguration ends the leadership of a leader that removed itself, once
-// that is committed: it hands over to the voter that has most of the log.
-func (n *Node) settleConfiguration() {
+// stepDownIfRemoved ends the leadership of a leader whose removal is committed. It
+// first asks the voter with the most complete log to start an election.
+func (n *Node) stepDownIfRemoved() {
 	pending := n.configurations.newestIndex() > n.log.commit
 	if pending || isVoter(n.configurations.newest(), n.config.Identity) {
 		return
@@ -92,15 +94,15 @@
 	n.becomeFollower(n.term, "")
 }
 
-// dropRemoved ends the progress of removed members once they have been told
-// that the removal is committed, or don't answer any more.
+// dropRemoved stops replicating to removed members that have been sent the commit of
+// their removal, or that no longer reply.
 func (n *Node) dropRemoved() {
 	index := n.configurations.newestIndex()
 	if index > n.log.commit {
 		return
 	}
 	n.progress = slices.DeleteFunc(n.progress, func(p *progress) bool {
-		return p.leaving && (p.told >= index || !n.live(p))
+		return p.removed && (p.sentCommit >= index || !n.live(p))
 	})
 }
 
--- a/internal/coordination/consensus/checker_test.go
+++ b/internal/coordination/consensus/checker_test.go
@@ -6,59 +6,61 @@
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 )
 
-// view is what the checker keeps of one incarnation of a replica.
-type view struct {
+// replicaHistory is the checker's record of one incarnation of a replica.
+type replicaHistory struct {
 	applied uint64
 	commit  uint64
-	// floors are the lowest indexes that may answer each read round.
-	floors map[uint64]uint64
-	// acknowledgedAt is the checker's acknowledgedTerm at each tick.
-	acknowledgedAt []uint64
+	// minReadIndex is the lowest index that may be returned for each read round.
+	minReadIndex map[uint64]uint64
+	// acknowledgedTermAt is the checker's acknowledgedTerm at each tick.
+	acknowledgedTermAt []uint64
 }
 
-func newView(applied uint64) view {
-	return view{applied: applied, floors: map[uint64]uint64{}, acknowledgedAt: []uint64{0}}
+func newReplicaHistory(applied uint64) replicaHistory {
+	return replicaHistory{applied: applied, minReadIndex: map[uint64]uint64{}, acknowledgedTermAt: []uint64{0}}
 }
 
-type place struct{ index, term uint64 }
+type entryID struct{ index, term uint64 }
 
 type stored struct {
 	previousTerm uint64
 	data         string
 }
 
-// checker holds what any replica has shown, and the first contradiction.
+// checker records what the replicas have exposed and the first violation of an
+// invariant.
 type checker struct {
 	violation string
-	unchecked bool              // benchmarks
+	unchecked bool              // set by benchmarks
 	leaders   map[uint64]string // by term
-	stored    map[place]stored
-	log       []*consensuspb.Entry // committed, from bootstrapIndex+1 on
-	// committedIn is the term of each one's first applier: leaders of newer
-	// terms must have it.
-	committedIn []uint64
+	stored    map[entryID]stored
+	log       []*consensuspb.Entry // committed entries, from bootstrapIndex+1 on
+	// commitTerms is, for each committed entry, the term of the first replica that
+	// applied it. Leaders of newer terms must have the entry.
+	commitTerms []uint64
 	commands    map[string]bool
-	// acknowledgedTerm is the newest term whose leader has applied a command.
+	// acknowledgedTerm is the newest term whose leader has applied an entry.
 	acknowledgedTerm uint64
-	counts
+	coverage
 }
 
-// counts is what schedules came to, to show that they reach these paths.
-type counts struct {
-	elected, committed, configurations, installed, reads, settled int
+// coverage counts the events of the schedules, to verify that they exercise these
+// paths.
+type coverage struct {
+	elected, committed, configurations, installed, reads, recovered int
 }
 
-func (c *counts) add(other counts) {
+func (c *coverage) add(other coverage) {
 	c.elected += other.elected
 	c.committed += other.committed
 	c.configurations += other.configurations
 	c.installed += other.installed
 	c.reads += other.reads
-	c.settled += other.settled
+	c.recovered += other.recovered
 }
 
 func newChecker() checker {
-	return checker{leaders: map[uint64]string{}, stored: map[place]stored{}, commands: map[string]bool{}}
+	return checker{leaders: map[uint64]string{}, stored: map[entryID]stored{}, commands: map[string]bool{}}
 }
 
 func (c *checker) fail(format string, args ...any) {
@@ -69,17 +71,19 @@
 
 func (c *checker) newestCommitted() uint64 { return bootstrapIndex + uint64(len(c.log)) }
 
-// checkReplica: one leader a term, which has all that was committed; a commit
-// index never goes back; no leader without a quorum for long; no understated age.
+// checkReplica checks that each term has at most one leader, that it has all committed
+// entries, that the commit index never decreases, that no leader remains without a
+// quorum for longer than the election timeout, and that the quorum age is not
+// underestimated.
 func (c *checker) checkReplica(r *replica) {
 	if r.down {
 		return
 	}
 	n := r.node
-	if n.log.commit < r.view.commit {
-		c.fail("commit of %s went back from %d to %d", r.identity, r.view.commit, n.log.commit)
+	if n.log.commit < r.history.commit {
+		c.fail("commit index of %s decreased from %d to %d", r.identity, r.history.commit, n.log.commit)
 	}
-	r.view.commit = n.log.commit
+	r.history.commit = n.log.commit
 	if n.role != Leader {
 		return
 	}
@@ -92,25 +96,25 @@
 		c.fail("election safety: %s and %s lead term %d", c.leaders[n.term], r.identity, n.term)
 	}
 	age := n.quorumAge()
-	if n.silence() > max(n.config.ElectionTicks, n.config.MostElectionTicks) {
-		c.fail("%s leads without a quorum for %d ticks", r.identity, n.silence())
+	if n.ticksSinceQuorum() > max(n.config.ElectionTicks, n.config.MostElectionTicks) {
+		c.fail("%s leads without a quorum for %d ticks", r.identity, n.ticksSinceQuorum())
 	}
-	if moment := len(r.view.acknowledgedAt) - 1 - age; moment >= 0 && r.view.acknowledgedAt[moment] > n.term {
-		c.fail("freshness: %s was replaced before its quorum's age of %d ticks", r.identity, age)
+	if tick := len(r.history.acknowledgedTermAt) - 1 - age; tick >= 0 && r.history.acknowledgedTermAt[tick] > n.term {
+		c.fail("freshness: %s was replaced more than its quorum age of %d ticks ago", r.identity, age)
 	}
 }
 
 func (c *checker) checkComplete(r *replica) {
 	for i, entry := range c.log {
-		if r.node.term > c.committedIn[i] && entry.Index > r.node.log.base && !r.node.log.matches(entry.Index, entry.Term) {
+		if r.node.term > c.commitTerms[i] && entry.Index > r.node.log.base && !r.node.log.matches(entry.Index, entry.Term) {
 			c.fail("leader completeness: %s leads term %d without entry %d", r.identity, r.node.term, entry.Index)
 			return
 		}
 	}
 }
 
-// checkStored: entries with the same index and term are the same and follow
-// the same one, hence whole logs match up to there.
+// checkStored checks that entries with the same index and term are identical and follow
+// the same entry, from which it follows that the logs match up to them.
 func (c *checker) checkStored(r *replica, entries []*consensuspb.Entry) {
 	if c.unchecked {
 		return
@@ -119,8 +123,8 @@
 		term, _ := r.node.log.termAt(entry.Index - 1)
 		if r.node.log.matches(entry.Index, entry.Term) {
 			got := stored{term, string(entry.Data)}
-			at := place{entry.Index, entry.Term}
-			if was, ok := c.stored[at]; ok && was != got {
+			at := entryID{entry.Index, entry.Term}
+			if previous, ok := c.stored[at]; ok && previous != got {
 				c.fail("log matching: %s differs at %d of term %d", r.identity, entry.Index, entry.Term)
 			}
 			c.stored[at] = got
@@ -128,23 +132,23 @@
 	}
 }
 
-// checkApplied: every replica applies the same entries in the same order, and
+// checkApplied checks that all replicas apply the same entries in the same order, and
 // each command once.
 func (c *checker) checkApplied(r *replica, entries []*consensuspb.Entry) {
 	if c.unchecked {
 		return
 	}
 	for _, entry := range entries {
-		if entry.Index != r.view.applied+1 {
-			c.fail("%s applied %d after %d", r.identity, entry.Index, r.view.applied)
+		if entry.Index != r.history.applied+1 {
+			c.fail("%s applied entry %d after entry %d", r.identity, entry.Index, r.history.applied)
 		}
-		r.view.applied = entry.Index
+		r.history.applied = entry.Index
 		if entry.Index > c.newestCommitted() {
 			c.commit(entry, r.node.term)
 		}
-		was := c.log[entry.Index-bootstrapIndex-1]
-		if was.Term != entry.Term || string(was.Data) != string(entry.Data) {
-			c.fail("lost command: %s applied another entry at %d", r.identity, entry.Index)
+		committed := c.log[entry.Index-bootstrapIndex-1]
+		if committed.Term != entry.Term || string(committed.Data) != string(entry.Data) {
+			c.fail("lost command: %s applied a different entry at %d", r.identity, entry.Index)
 		}
 		if r.node.role == Leader {
 			c.acknowledgedTerm = max(c.acknowledgedTerm, r.node.term)
@@ -155,7 +159,7 @@
 func (c *checker) commit(entry *consensuspb.Entry, term uint64) {
 	c.log = append(c.log, entry)
 	c.committed++
-	c.committedIn = append(c.committedIn, term)
+	c.commitTerms = append(c.commitTerms, term)
 	if entry.Kind == consensuspb.EntryKind_ENTRY_KIND_CONFIGURATION {
 		c.configurations++
 	}
@@ -170,16 +174,17 @@
 
 func (c *checker) read(r *replica) {
 	if round, err := r.node.ReadIndex(); err == nil {
-		r.view.floors[round] = c.newestCommitted()
+		r.history.minReadIndex[round] = c.newestCommitted()
 	}
 }
 
-// checkReads: a confirmed read sees all that was committed before it began.
+// checkReads checks that a confirmed read observes everything committed before it
+// began.
 func (c *checker) checkReads(r *replica, reads []ReadState) {
 	c.reads += len(reads)
 	for _, read := range reads {
-		if read.Index < r.view.floors[read.Round] {
-			c.fail("stale read: %s answered %d where %d was committed", r.identity, read.Index, r.view.floors[read.Round])
+		if read.Index < r.history.minReadIndex[read.Round] {
+			c.fail("stale read: %s answered %d where %d was committed", r.identity, read.Index, r.history.minReadIndex[read.Round])
 		}
 	}
 }
--- a/internal/coordination/consensus/configuration.go
+++ b/internal/coordination/consensus/configuration.go
@@ -10,19 +10,20 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// usualVoters fit without an allocation; more work too.
-const usualVoters = 8
+// inlineVoters is the number of voters for which quorumValue needs no heap allocation.
+// Larger configurations work too.
+const inlineVoters = 8
 
-// placed is a configuration and the index it stands at.
-type placed struct {
+// indexedConfiguration is a configuration and its log index.
+type indexedConfiguration struct {
 	index         uint64
 	configuration *consensuspb.Configuration
 }
 
-// configurations are those in the log from the one at the base on, newest
-// last. The newest is in force as soon as it is in the log, committed or not
-// (thesis, 4.1), and goes back when its entry is replaced.
-type configurations []placed
+// configurations are the configurations in the log, starting with the one in force at
+// the base, newest last. The newest takes effect as soon as it is appended, whether
+// committed or not (thesis, section 4.1), and is reverted if its entry is overwritten.
+type configurations []indexedConfiguration
 
 func (c *configurations) reset(meta *consensuspb.SnapshotMeta) {
 	later := (*c).after(meta.Index)
@@ -30,8 +31,8 @@
 	*c = append(kept, later...)
 }
 
-// take adds those among entries.
-func (c *configurations) take(entries []*consensuspb.Entry) error {
+// addFrom adds the configurations contained in entries.
+func (c *configurations) addFrom(entries []*consensuspb.Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != consensuspb.EntryKind_ENTRY_KIND_CONFIGURATION {
 			continue
@@ -40,19 +41,19 @@
 		if err := proto.Unmarshal(entry.Data, configuration); err != nil {
 			return failure.Wrap(failure.Corrupt, err, "configuration at %d", entry.Index)
 		}
-		*c = append(*c, placed{entry.Index, configuration})
+		*c = append(*c, indexedConfiguration{entry.Index, configuration})
 	}
 	return nil
 }
 
-// truncate drops those from index on.
+// truncate removes the configurations from index on.
 func (c *configurations) truncate(index uint64) {
 	for len(*c) > 0 && (*c)[len(*c)-1].index >= index {
 		*c = (*c)[:len(*c)-1]
 	}
 }
 
-// compact drops those that no index from index on needs.
+// compact removes the configurations that are superseded at index.
 func (c *configurations) compact(index uint64) {
 	for len(*c) > 1 && (*c)[1].index <= index {
 		*c = (*c)[1:]
@@ -64,7 +65,7 @@
 	return c[first:]
 }
 
-// at gives the configuration in force at index; nil where none is known.
+// at returns the configuration in force at index; nil if it is unknown.
 func (c configurations) at(index uint64) *consensuspb.Configuration {
 	first := sort.Search(len(c), func(i int) bool { return c[i].index > index })
 	if first == 0 {
@@ -110,12 +111,13 @@
 	return identities
 }
 
-// quorumOf is the majority of a number of voters.
-func quorumOf(voters int) int { return voters/2 + 1 }
+// quorumSize is the size of a majority of a number of voters.
+func quorumSize(voters int) int { return voters/2 + 1 }
 
-// quorumValue is the greatest value that a quorum of the voters has reached.
+// quorumValue returns the greatest value that a quorum of the voters has reached, given
+// this replica's own value; 0 if there is no quorum.
 func (n *Node) quorumValue(own uint64, value func(*progress) uint64) uint64 {
-	var buffer [usualVoters]uint64
+	var buffer [inlineVoters]uint64
 	values := buffer[:0]
 	count := 0
 	for _, m := range n.configurations.newest().GetMembers() {
@@ -141,5 +143,5 @@
 	if n.disabled.majority {
 		return voters / 2
 	}
-	return quorumOf(voters)
+	return quorumSize(voters)
 }
--- a/internal/coordination/consensus/election.go
+++ b/internal/coordination/consensus/election.go
@@ -2,20 +2,20 @@
 
 import "pinewinch.example/pinewinch/internal/protocol/consensuspb"
 
-// ballot is what the voters answered to one campaign.
-type ballot struct {
-	began   uint64 // tick
-	answers map[string]bool
+// voteTally collects the replies to one campaign, for pre-votes or votes.
+type voteTally struct {
+	startTick uint64          // tick at which the requests were queued
+	replies   map[string]bool // granted or refused, by voter identity
 }
 
 func (n *Node) resetTimeout() {
 	n.elapsed = 0
-	n.drawn = n.config.Rand.IntN(n.config.ElectionTicks + 1)
+	n.jitter = n.config.Rand.IntN(n.config.ElectionTicks + 1)
 }
 
-func (n *Node) timeout() int {
-	ticks := n.patience.ticks()
-	return ticks + n.drawn*ticks/n.config.ElectionTicks
+func (n *Node) randomizedTimeout() int {
+	ticks := n.electionTimeout.ticks()
+	return ticks + n.jitter*ticks/n.config.ElectionTicks
 }
 
 func (n *Node) becomeFollower(term uint64, leader string) {
@@ -31,26 +31,26 @@
 	n.transfer = transfer{}
 }
 
-// mayCampaign tells whether this replica is a voter in the committed
-// configuration or one after it. One that is only in the committed one still
-// campaigns: until its own removal is committed the quorum may need its log
-// (thesis, 4.2.2).
+// mayCampaign reports whether this replica is a voter in the committed configuration or
+// in a later one. A replica that is a voter only in the committed configuration still
+// campaigns: until its removal is committed, the quorum may need its log (thesis,
+// section 4.2.2).
 func (n *Node) mayCampaign() bool {
 	if isVoter(n.configurations.at(n.log.commit), n.config.Identity) {
 		return true
 	}
-	for _, p := range n.configurations.after(n.log.commit) {
-		if isVoter(p.configuration, n.config.Identity) {
+	for _, c := range n.configurations.after(n.log.commit) {
+		if isVoter(c.configuration, n.config.Identity) {
 			return true
 		}
 	}
 	return false
 }
 
-// campaign asks, without a new term, who would vote for this replica. A replica
-// that was cut off would otherwise raise its term at every timeout and depose
-// a healthy leader on its return; here it stays in its term until a quorum
-// that hears no leader would elect it.
+// campaign starts a pre-vote without incrementing the term. Without pre-vote, a replica
+// that was partitioned would increment its term at every election timeout and depose a
+// healthy leader when it reconnects. With it, the term stays unchanged until a quorum
+// that has no live leader would grant the vote.
 func (n *Node) campaign() {
 	n.leader = ""
 	n.resetTimeout()
@@ -58,24 +58,25 @@
 		return
 	}
 	if n.disabled.preVote {
-		n.elect(false)
+		n.startElection(false)
 		return
 	}
 	n.role = PreCandidate
-	n.ask(consensuspb.MessageKind_MESSAGE_KIND_PRE_VOTE, n.term+1, false)
+	n.requestVotes(consensuspb.MessageKind_MESSAGE_KIND_PRE_VOTE, n.term+1, false)
 }
 
-// elect asks for votes in a new term.
-func (n *Node) elect(transferred bool) {
+// startElection requests votes in a new term. With transferred set, the voters grant
+// them even if they have a live leader.
+func (n *Node) startElection(transferred bool) {
 	n.role, n.leader = Candidate, ""
 	n.term++
 	n.vote = n.config.Identity
 	n.resetTimeout()
-	n.ask(consensuspb.MessageKind_MESSAGE_KIND_VOTE, n.term, transferred)
+	n.requestVotes(consensuspb.MessageKind_MESSAGE_KIND_VOTE, n.term, transferred)
 }
 
-func (n *Node) ask(kind consensuspb.MessageKind, term uint64, transferred bool) {
-	n.votes = ballot{began: n.now, answers: map[string]bool{n.config.Identity: true}}
+func (n *Node) requestVotes(kind consensuspb.MessageKind, term uint64, transferred bool) {
+	n.votes = voteTally{startTick: n.now, replies: map[string]bool{n.config.Identity: true}}
 	for _, identity := range voters(n.configurations.newest()) {
 		if identity == n.config.Identity {
 			continue
@@ -85,26 +86,26 @@
 			LogIndex: n.log.last(), LogTerm: n.log.lastTerm(),
 		})
 	}
-	n.count()
+	n.countVotes()
 }
 
-// count moves on when a quorum of the newest configuration agrees. This
-// replica's own vote counts only where it is a voter itself.
-func (n *Node) count() {
+// countVotes evaluates the replies against the quorum of the newest configuration. This
+// replica's own vote counts only if it is a voter in it.
+func (n *Node) countVotes() {
 	identities := voters(n.configurations.newest())
 	granted, refused := 0, 0
 	for _, identity := range identities {
-		yes, answered := n.votes.answers[identity]
+		yes, replied := n.votes.replies[identity]
 		if yes {
 			granted++
-		} else if answered {
+		} else if replied {
 			refused++
 		}
 	}
 	need := n.quorum(len(identities))
 	switch {
 	case granted >= need && n.role == PreCandidate:
-		n.elect(false)
+		n.startElection(false)
 	case granted >= need:
 		n.becomeLeader()
 	case refused > len(identities)-need:
@@ -112,22 +113,23 @@
 	}
 }
 
-// hearsLeader tells whether this replica follows a live leader other than the
-// candidate. It then ignores vote requests, so that a replica that has lost
-// only its own link, or was removed, cannot depose a leader that serves the
-// others. A leader that asks for votes itself has stepped down.
-func (n *Node) hearsLeader(candidate string) bool {
+// hasLiveLeader reports whether this replica follows a live leader other than the
+// candidate. It then ignores vote requests, so that a replica that has only lost its
+// own link to the leader, or that was removed, cannot depose a leader that serves the
+// others (leader stickiness). A vote request from the leader itself means that it has
+// stepped down.
+func (n *Node) hasLiveLeader(candidate string) bool {
 	if n.disabled.stickiness {
 		return false
 	}
 	if n.role == Leader {
 		return true
 	}
-	return n.leader != "" && n.leader != candidate && n.elapsed < n.patience.ticks()
+	return n.leader != "" && n.leader != candidate && n.elapsed < n.electionTimeout.ticks()
 }
 
 func (n *Node) handlePreVote(m *consensuspb.Message) {
-	granted := m.Term > n.term && n.log.upToDate(m.LogIndex, m.LogTerm) && !n.hearsLeader(m.From)
+	granted := m.Term > n.term && n.log.upToDate(m.LogIndex, m.LogTerm) && !n.hasLiveLeader(m.From)
 	reply := &consensuspb.Message{Kind: consensuspb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, To: m.From, Reject: !granted}
 	if granted {
 		reply.Term = m.Term
@@ -135,11 +137,11 @@
 	n.send(reply)
 }
 
-// handleVote votes whatever the own configuration says: a voter that has not
-// heard of its promotion yet may be needed for the quorum.
+// handleVote grants votes regardless of this replica's own configuration: a voter that
+// has not yet learned of its promotion may be needed for the quorum.
 func (n *Node) handleVote(m *consensuspb.Message) {
-	free := n.vote == "" && n.leader == "" || n.vote == m.From
-	granted := free && n.log.upToDate(m.LogIndex, m.LogTerm)
+	eligible := n.vote == "" && n.leader == "" || n.vote == m.From
+	granted := eligible && n.log.upToDate(m.LogIndex, m.LogTerm)
 	if granted {
 		n.vote = m.From
 		n.resetTimeout()
@@ -148,44 +150,46 @@
 }
 
 func (n *Node) handleVoteReply(m *consensuspb.Message, asked Role) {
-	// A granted pre-vote answers for the next term; one of an older campaign
-	// would answer for a term that is over.
+	// A granted pre-vote carries the prospective term. A reply to an earlier campaign,
+	// with a prospective term that has passed, is ignored.
 	if n.role != asked || asked == PreCandidate && !m.Reject && m.Term != n.term+1 {
 		return
 	}
-	n.votes.answers[m.From] = !m.Reject
-	n.count()
+	n.votes.replies[m.From] = !m.Reject
+	n.countVotes()
 }
 
-// becomeLeader opens the term with an empty entry: entries of earlier terms
-// commit only through one of the leader's own (Raft, 5.4.2).
+// becomeLeader starts the term with an empty entry: entries of earlier terms are
+// committed only indirectly, by committing an entry of the leader's own term (Raft
+// paper, section 5.4.2).
 func (n *Node) becomeLeader() {
 	n.role, n.leader = Leader, n.config.Identity
 	n.resetTimeout()
 	n.reads.reset()
-	n.reads.confirmedTick = n.votes.began
+	n.reads.confirmedTick = n.votes.startTick
 	n.progress = nil
-	n.commitAtBeat = [2]uint64{n.log.commit, n.log.commit}
-	n.followConfiguration()
-	n.appendOwn(consensuspb.EntryKind_ENTRY_KIND_EMPTY, nil)
+	n.commitAtHeartbeat = [2]uint64{n.log.commit, n.log.commit}
+	n.updateProgress()
+	n.appendLocal(consensuspb.EntryKind_ENTRY_KIND_EMPTY, nil)
 	n.startRound()
 }
 
-// tickLeader steps down when no quorum has recognised this leader for an
-// election timeout. A leader that can send but not hear would otherwise keep
-// the others from electing one and commit nothing, for as long as the cut lasts.
+// tickLeader steps down if no quorum has acknowledged this leader for an election
+// timeout. Otherwise a leader that can send but not receive would prevent the election
+// of another one while committing nothing, for as long as the network fault lasts.
 func (n *Node) tickLeader() {
-	if n.silence() >= n.patience.ticks() && !n.disabled.quorumContact {
+	if n.ticksSinceQuorum() >= n.electionTimeout.ticks() && !n.disabled.checkQuorum {
 		n.becomeFollower(n.term, "")
 		return
 	}
 	n.tickTransfer()
 	if n.now%uint64(n.config.HeartbeatTicks) == 0 {
-		n.commitAtBeat = [2]uint64{n.commitAtBeat[1], n.log.commit}
+		n.commitAtHeartbeat = [2]uint64{n.commitAtHeartbeat[1], n.log.commit}
 		n.startRound()
 	}
 }
 
-// silence is how long this leader has heard no quorum: since its election at
-// most, as the votes may have been long on their way.
-func (n *Node) silence() int { return min(n.quorumAge(), n.elapsed) }
+// ticksSinceQuorum returns the ticks since a quorum last acknowledged this leader, or
+// since its election if that is more recent: the votes may have been delayed in the
+// network.
+func (n *Node) ticksSinceQuorum() int { return min(n.quorumAge(), n.elapsed) }
--- a/internal/coordination/consensus/log.go
+++ b/internal/coordination/consensus/log.go
@@ -9,16 +9,16 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// entryLog is the log in memory: everything after the compacted base. Slices
-// that were handed out are never written to again.
+// entryLog is the in-memory log: all entries after the compacted base. Slices that were
+// returned to the driver are never modified.
 type entryLog struct {
 	base     uint64 // index of the newest compacted entry
 	baseTerm uint64
 	entries  []*consensuspb.Entry
-	handed   uint64 // newest index given in a Ready
-	durable  uint64 // newest index that was synced
+	emitted  uint64 // newest index returned in Ready.Entries
+	durable  uint64 // newest index that was synced to disk
 	commit   uint64
-	applied  uint64 // newest index given in Ready.Committed
+	applied  uint64 // newest index returned in Ready.Committed
 }
 
 func newEntryLog(recovered Recovered) entryLog {
@@ -27,14 +27,15 @@
 		baseTerm: recovered.Snapshot.GetTerm(),
 	}
 	for _, entry := range recovered.Entries {
-		// After a snapshot was installed the disk may still hold an older log's
-		// tail behind it. Such a tail goes down in term; kept, it would make
-		// this replica vote as if it had not the snapshot's newer term.
+		// After the installation of a snapshot the disk may still contain the tail of
+		// an older log, recognizable by a term lower than the snapshot's. If that tail
+		// were kept, this replica would vote as if it did not have the snapshot's newer
+		// term.
 		if entry.Index == l.last()+1 && entry.Term >= l.lastTerm() {
 			l.entries = append(l.entries, entry)
 		}
 	}
-	l.handed, l.durable = l.last(), l.last()
+	l.emitted, l.durable = l.last(), l.last()
 	l.commit = max(min(recovered.Hard.GetCommit(), l.last()), l.base)
 	l.applied = max(recovered.Applied, l.base)
 	l.commit = max(l.commit, l.applied)
@@ -50,7 +51,7 @@
 	return l.entries[len(l.entries)-1].Term
 }
 
-// termAt gives the term of the entry at index; false outside the log.
+// termAt returns the term of the entry at index; false if the index is outside the log.
 func (l *entryLog) termAt(index uint64) (uint64, bool) {
 	if index == l.base {
 		return l.baseTerm, true
@@ -66,7 +67,9 @@
 	return ok && have == term
 }
 
-// upToDate tells whether a log that ends so may lead this one (Raft, 5.4.1).
+// upToDate reports whether a log whose last entry has this index and term is at least
+// as up to date as this one, so that its owner may be elected (Raft paper, section
+// 5.4.1).
 func (l *entryLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -74,9 +77,9 @@
 	return index >= l.last()
 }
 
-// closest is the newest index up to limit whose term is at most term: where
-// two logs that differ at limit can first agree.
-func (l *entryLog) closest(limit, term uint64) uint64 {
+// findConflictByTerm returns the newest index, up to limit, of an entry whose term is
+// at most term: the newest position at which two logs that differ at limit can match.
+func (l *entryLog) findConflictByTerm(limit, term uint64) uint64 {
 	limit = min(limit, l.last())
 	if limit <= l.base {
 		return limit
@@ -86,20 +89,20 @@
 	return l.base + uint64(newer)
 }
 
-// extend appends entries that follow the newest one.
+// extend appends entries that directly follow the newest one.
 func (l *entryLog) extend(entries ...*consensuspb.Entry) {
 	l.entries = append(l.entries, entries...)
 }
 
-// merge takes a leader's entries, replaces a tail that conflicts with them and
-// gives the entries that were new. The entry before them must match.
+// merge adds entries received from the leader, replaces a conflicting tail, and returns
+// the entries that were new. The entry that precedes them must match.
 func (l *entryLog) merge(entries []*consensuspb.Entry) ([]*consensuspb.Entry, error) {
 	for i, entry := range entries {
 		if l.matches(entry.Index, entry.Term) {
 			continue
 		}
 		if entry.Index <= l.commit {
-			return nil, failure.New(failure.Corrupt, "entry %d of term %d contradicts a committed one", entry.Index, entry.Term)
+			return nil, failure.New(failure.Corrupt, "entry %d of term %d conflicts with a committed entry", entry.Index, entry.Term)
 		}
 		l.truncate(entry.Index)
 		l.extend(entries[i:]...)
@@ -108,19 +111,19 @@
 	return nil, nil
 }
 
-// truncate drops the entries from index on. The capacity goes too, so that
-// later appends leave slices that were handed out alone.
+// truncate removes the entries from index on. It also reduces the capacity of the
+// slice, so that later appends do not overwrite slices returned earlier.
 func (l *entryLog) truncate(index uint64) {
 	if index > l.last() {
 		return
 	}
 	keep := index - l.base - 1
 	l.entries = l.entries[:keep:keep]
-	l.handed = min(l.handed, index-1)
+	l.emitted = min(l.emitted, index-1)
 	l.durable = min(l.durable, index-1)
 }
 
-// compact drops the entries up to index, which a durable snapshot covers.
+// compact removes the entries up to index, which a durable snapshot covers.
 func (l *entryLog) compact(index uint64) {
 	index = min(index, l.applied)
 	if index <= l.base {
@@ -131,8 +134,8 @@
 	l.base = index
 }
 
-// restore starts the log anew behind an installed snapshot. A tail that goes
-// on from the snapshot is kept.
+// restore resets the log to an installed snapshot. Entries after the snapshot are kept
+// if the log contains the snapshot's last entry.
 func (l *entryLog) restore(index, term uint64) {
 	if l.matches(index, term) {
 		l.commit = max(l.commit, index)
@@ -140,11 +143,12 @@
 		l.compact(index)
 		return
 	}
-	*l = entryLog{base: index, baseTerm: term, handed: index, durable: index, commit: index, applied: index}
+	*l = entryLog{base: index, baseTerm: term, emitted: index, durable: index, commit: index, applied: index}
 }
 
-// from gives entries from index on, at least one, up to maxBytes.
-func (l *entryLog) from(index uint64, maxBytes int) []*consensuspb.Entry {
+// entriesFrom returns entries from index on, at least one, up to maxBytes in encoded
+// size.
+func (l *entryLog) entriesFrom(index uint64, maxBytes int) []*consensuspb.Entry {
 	rest := l.entries[index-l.base-1:]
 	size := 0
 	for i, entry := range rest {
@@ -156,8 +160,8 @@
 	return rest[:len(rest):len(rest)]
 }
 
-// between gives the entries after one index up to another.
-func (l *entryLog) between(after, upTo uint64) []*consensuspb.Entry {
+// entriesBetween returns the entries in the range (after, upTo].
+func (l *entryLog) entriesBetween(after, upTo uint64) []*consensuspb.Entry {
 	if upTo <= after {
 		return nil
 	}
--- a/internal/coordination/consensus/membership_test.go
+++ b/internal/coordination/consensus/membership_test.go
@@ -8,67 +8,68 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// A voter's disk is lost, a spare takes its place, and at once a second voter
-// is lost: two of three are left, so commands go on. A change that would leave
-// no quorum is refused and says so.
+// A voter loses its disk, a spare replaces it, and immediately afterwards a second
+// voter is lost. Two of three voters remain, so commands must still be committed. A
+// change that would leave no quorum must be rejected with NoQuorum.
 func TestRepairThenSecondLoss(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 3, calm, planted{})
-	leader, others := w.led()
-	spare := w.add()
-	w.start(spare)
-	others[0].lost, others[0].down = true, true
-	spare.frozen = true
-	is.NoErr(w.member(leader, spare.identity, false, false))
-	is.True(failure.Is(w.member(leader, others[1].identity, true, false), failure.ChangePending))
-	w.round()
-	is.True(failure.Is(w.member(leader, spare.identity, false, true), failure.NotCaughtUp))
-	spare.frozen = false
-	w.elections(2)
-	is.True(failure.Is(w.member(leader, others[1].identity, true, false), failure.NoQuorum)) // one of two would be live
-	is.NoErr(w.member(leader, spare.identity, false, true))
-	w.elections(1)
-	is.NoErr(w.member(leader, others[0].identity, true, false))
-	w.round()
+	sim := newSimulation(1, 3, typicalConfig, injectedFaults{})
+	leader, others := sim.electLeader()
+	spare := sim.add()
+	sim.start(spare)
+	others[0].diskLost, others[0].down = true, true
+	spare.paused = true
+	is.NoErr(sim.changeMember(leader, spare.identity, false, false))
+	is.True(failure.Is(sim.changeMember(leader, others[1].identity, true, false), failure.ChangePending))
+	sim.round()
+	is.True(failure.Is(sim.changeMember(leader, spare.identity, false, true), failure.NotCaughtUp))
+	spare.paused = false
+	sim.runElectionTimeouts(2)
+	is.True(failure.Is(sim.changeMember(leader, others[1].identity, true, false), failure.NoQuorum)) // one of two would be live
+	is.NoErr(sim.changeMember(leader, spare.identity, false, true))
+	sim.runElectionTimeouts(1)
+	is.NoErr(sim.changeMember(leader, others[0].identity, true, false))
+	sim.round()
 	is.Equal(leader.node.Status().ConfigurationPending, false)
-	others[1].lost, others[1].down = true, true
-	is.True(w.settle())
-	is.Equal(w.violation, "")
+	others[1].diskLost, others[1].down = true, true
+	is.True(sim.checkRecovery())
+	is.Equal(sim.violation, "")
 }
 
-// The leader removes itself: it leads until that is committed, then a voter
-// that stays takes over without waiting for an election timeout.
+// A leader that removes itself leads until the removal is committed; then one of the
+// remaining voters takes over without waiting for an election timeout.
 func TestLeaderRemovesItself(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 3, calm, planted{})
-	leader, _ := w.led()
-	is.NoErr(w.member(leader, leader.identity, true, false))
-	w.round()
-	is.True(w.replaced(leader)())
-	next := w.leader()
+	sim := newSimulation(1, 3, typicalConfig, injectedFaults{})
+	leader, _ := sim.electLeader()
+	is.NoErr(sim.changeMember(leader, leader.identity, true, false))
+	sim.round()
+	is.True(sim.otherLeads(leader)())
+	next := sim.leader()
 	is.Equal(len(next.node.Status().Configuration.Members), 2)
-	w.elections(3)
+	sim.runElectionTimeouts(3)
 	is.Equal(leader.node.Status().Role, Follower)
-	removed := w.without(leader, next)[0]
-	is.NoErr(w.member(next, removed.identity, true, false))
-	w.round()
-	is.Equal(len(removed.node.Status().Configuration.Members), 1) // it learns that it left
+	removed := sim.without(leader, next)[0]
+	is.NoErr(sim.changeMember(next, removed.identity, true, false))
+	sim.round()
+	is.Equal(len(removed.node.Status().Configuration.Members), 1) // it learns of its removal
 	is.True(!removed.node.Status().ConfigurationPending)
 	is.Equal(len(next.node.Status().Members), 0)
-	is.Equal(w.violation, "")
+	is.Equal(sim.violation, "")
 }
 
-// A leader that stops hands over: no proposal is taken meanwhile, and the
-// target leads within the same tick although the voters hear a live leader.
+// A leader that stops transfers leadership: it rejects proposals meanwhile, and the
+// target becomes leader within the same tick although the other voters have a live
+// leader.
 func TestTransfer(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 3, calm, planted{})
-	leader, others := w.led()
+	sim := newSimulation(1, 3, typicalConfig, injectedFaults{})
+	leader, others := sim.electLeader()
 	is.NoErr(leader.node.Transfer(others[1].identity))
 	_, err := leader.node.Propose([]byte("late"))
 	is.True(failure.Is(err, failure.NotReady))
-	w.drain()
-	is.Equal(w.leader(), others[1])
+	sim.drain()
+	is.Equal(sim.leader(), others[1])
 	_, err = leader.node.Propose([]byte("late"))
 	is.True(failure.Is(err, failure.NotLeader))
 }
--- a/internal/coordination/consensus/network_test.go
+++ b/internal/coordination/consensus/network_test.go
@@ -8,38 +8,39 @@
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 )
 
-// settleElections bounds, in shortest election timeouts, the time to a leader
-// and a commit everywhere once faults have stopped: a few elections, and a
-// snapshot for the slowest.
-const settleElections = 12
+// recoveryElections is the time, in minimum election timeouts, within which a leader
+// must exist and an entry must be committed everywhere after the faults have stopped.
+// It allows for a few elections and for a snapshot to the slowest replica.
+const recoveryElections = 12
 
-// planted are faults that the checker must notice.
-type planted struct {
+// injectedFaults are defects that the checker must detect.
+type injectedFaults struct {
 	safeguards
 	sendBeforeSync bool
-	forgetVote     bool
-	oldIdentity    bool // a lost disk starts again under its old identity
-	// patient is no fault: election timeouts follow the silences that are seen.
-	patient bool
+	loseVote       bool
+	reuseIdentity  bool // a replica restarts with an empty disk under its old identity
+	// adaptiveTimeout is not a fault: it makes election timeouts adapt to the observed
+	// silences.
+	adaptiveTimeout bool
 }
 
 type disk struct {
-	none     bool // benchmarks
+	discard  bool // set by benchmarks: nothing is stored
 	hard     *consensuspb.HardState
 	snapshot *consensuspb.SnapshotMeta
 	entries  []*consensuspb.Entry
 }
 
-// replica is a driver without clock, socket or disk around a Node.
+// replica is a driver of a Node without clock, socket or disk.
 type replica struct {
-	identity           string
-	node               *Node
-	disk               disk
-	down, lost, frozen bool
-	crashAt            crashPoint
-	pending            *Ready
-	fetch              *Fetch
-	view               view
+	identity               string
+	node                   *Node
+	disk                   disk
+	down, diskLost, paused bool
+	crashAt                crashPoint
+	pending                *Ready
+	fetch                  *Fetch
+	history                replicaHistory
 }
 
 type crashPoint int
@@ -53,59 +54,59 @@
 	crashPoints
 )
 
-// world is replicas on a network that drops, delays, duplicates and reorders.
-// The same seed gives the same run.
-type world struct {
+// simulation consists of replicas on a network that drops, delays, duplicates and
+// reorders messages. A run is determined by its seed.
+type simulation struct {
 	rng      *rand.Rand
-	faults   planted
+	faults   injectedFaults
 	config   Config
 	replicas []*replica
 	network  []*consensuspb.Message
-	cut      map[[2]string]bool
-	started  int
+	cutLinks map[[2]string]bool
+	added    int
 	proposed int
-	stop     func() bool                // ends a drain early, where set
-	sent     func(*consensuspb.Message) // sees every message sent, where set
+	stopWhen func() bool                // optional: ends a drain early
+	onSend   func(*consensuspb.Message) // optional: called for every message sent
 	checker
 }
 
-func newWorld(seed uint64, size int, config Config, faults planted) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 1)), faults: faults, config: config, cut: map[[2]string]bool{}}
-	w.checker = newChecker()
+func newSimulation(seed uint64, size int, config Config, faults injectedFaults) *simulation {
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), faults: faults, config: config, cutLinks: map[[2]string]bool{}}
+	sim.checker = newChecker()
 	var members []*consensuspb.Member
 	for range size {
-		members = append(members, &consensuspb.Member{Identity: w.add().identity, Voter: true})
+		members = append(members, &consensuspb.Member{Identity: sim.add().identity, Voter: true})
 	}
 	first := Bootstrap(members)
-	for _, r := range w.replicas {
+	for _, r := range sim.replicas {
 		r.disk = disk{hard: first.Hard, snapshot: first.Snapshot}
-		w.start(r)
+		sim.start(r)
 	}
-	return w
+	return sim
 }
 
-func (w *world) add() *replica {
-	w.started++
-	r := &replica{identity: fmt.Sprintf("i%d.%d", w.started, w.started), down: true}
-	w.replicas = append(w.replicas, r)
+func (sim *simulation) add() *replica {
+	sim.added++
+	r := &replica{identity: fmt.Sprintf("i%d.%d", sim.added, sim.added), down: true}
+	sim.replicas = append(sim.replicas, r)
 	return r
 }
 
-func (w *world) start(r *replica) {
-	r.down, r.frozen, r.crashAt, r.pending, r.fetch = false, false, noCrash, nil, nil
-	config := w.config
-	config.Identity, config.Rand = r.identity, rand.New(rand.NewPCG(w.rng.Uint64(), 2))
+func (sim *simulation) start(r *replica) {
+	r.down, r.paused, r.crashAt, r.pending, r.fetch = false, false, noCrash, nil, nil
+	config := sim.config
+	config.Identity, config.Rand = r.identity, rand.New(rand.NewPCG(sim.rng.Uint64(), 2))
 	recovered := Recovered{Hard: r.disk.hard, Snapshot: r.disk.snapshot, Entries: r.disk.entries, Applied: r.disk.snapshot.GetIndex()}
-	if w.faults.forgetVote && recovered.Hard != nil {
+	if sim.faults.loseVote && recovered.Hard != nil {
 		recovered.Hard = &consensuspb.HardState{Term: recovered.Hard.Term, Commit: recovered.Hard.Commit}
 	}
 	r.node = New(config, recovered)
-	r.node.disabled = w.faults.safeguards
-	r.view = newView(recovered.Applied)
+	r.node.disabled = sim.faults.safeguards
+	r.history = newReplicaHistory(recovered.Applied)
 }
 
-func (w *world) find(identity string) *replica {
-	for _, r := range w.replicas {
+func (sim *simulation) find(identity string) *replica {
+	for _, r := range sim.replicas {
 		if r.identity == identity {
 			return r
 		}
@@ -113,37 +114,38 @@
 	return nil
 }
 
-// pump carries out what the Node wants done. At random it leaves a Ready
-// between its early messages and its sync, while the Node takes more input.
-func (w *world) pump(r *replica, patient bool) {
-	for !r.down && w.violation == "" {
+// processReady processes the Readys of a Node. Unless complete is set, it randomly
+// leaves a Ready pending after its early messages and before its sync, so that the Node
+// receives more input meanwhile.
+func (sim *simulation) processReady(r *replica, complete bool) {
+	for !r.down && sim.violation == "" {
 		if r.pending == nil {
 			ready, ok := r.node.Ready()
 			if !ok {
 				return
 			}
 			r.pending = &ready
-			w.deliverLater(ready.Messages[:ready.Early])
-			if !patient && w.rng.IntN(4) == 0 {
+			sim.enqueue(ready.Messages[:ready.Early])
+			if !complete && sim.rng.IntN(4) == 0 {
 				return
 			}
 		}
 		ready := r.pending
 		r.pending = nil
-		w.carryOut(r, ready)
+		sim.handleReady(r, ready)
 	}
 }
 
-func (w *world) carryOut(r *replica, ready *Ready) {
-	if w.faults.sendBeforeSync {
-		w.deliverLater(ready.Messages[ready.Early:])
+func (sim *simulation) handleReady(r *replica, ready *Ready) {
+	if sim.faults.sendBeforeSync {
+		sim.enqueue(ready.Messages[ready.Early:])
 	}
 	switch r.crashAt {
 	case beforeSync:
 		r.down = true
 		return
 	case tornSync:
-		r.disk.write(ready.Entries[:w.rng.IntN(len(ready.Entries)+1)])
+		r.disk.write(ready.Entries[:sim.rng.IntN(len(ready.Entries)+1)])
 		r.down = true
 		return
 	}
@@ -151,16 +153,16 @@
 		r.disk.hard = ready.Hard
 	}
 	r.disk.write(ready.Entries)
-	w.checkStored(r, ready.Entries)
+	sim.checkStored(r, ready.Entries)
 	if r.crashAt == beforeSend {
 		r.down = true
 		return
 	}
-	if !w.faults.sendBeforeSync {
-		w.deliverLater(ready.Messages[ready.Early:])
+	if !sim.faults.sendBeforeSync {
+		sim.enqueue(ready.Messages[ready.Early:])
 	}
-	w.checkApplied(r, ready.Committed)
-	w.checkReads(r, ready.Reads)
+	sim.checkApplied(r, ready.Committed)
+	sim.checkReads(r, ready.Reads)
 	if ready.Fetch != nil {
 		r.fetch = ready.Fetch
 	}
@@ -168,9 +170,10 @@
 	r.down = r.crashAt == afterSend
 }
 
-// write replaces the tail from the first entry on, as a log on disk does.
+// write replaces the stored entries from the first new index on, as the log on disk
+// does.
 func (d *disk) write(entries []*consensuspb.Entry) {
-	if len(entries) == 0 || d.none {
+	if len(entries) == 0 || d.discard {
 		return
 	}
 	kept := 0
@@ -180,55 +183,55 @@
 	d.entries = append(d.entries[:kept:kept], entries...)
 }
 
-func (w *world) deliverLater(messages []*consensuspb.Message) {
-	w.network = append(w.network, messages...)
-	if w.sent != nil {
+func (sim *simulation) enqueue(messages []*consensuspb.Message) {
+	sim.network = append(sim.network, messages...)
+	if sim.onSend != nil {
 		for _, m := range messages {
-			w.sent(m)
+			sim.onSend(m)
 		}
 	}
 }
 
-// take removes the message at i and hands it over, unless it is lost.
-func (w *world) take(i int) {
-	m := w.network[i]
-	w.network = append(w.network[:i], w.network[i+1:]...)
-	w.hand(m)
+// deliverAt removes the message at position i and delivers it.
+func (sim *simulation) deliverAt(i int) {
+	m := sim.network[i]
+	sim.network = append(sim.network[:i], sim.network[i+1:]...)
+	sim.deliver(m)
 }
 
-func (w *world) hand(m *consensuspb.Message) {
-	r := w.find(m.To)
-	if r == nil || r.down || w.cut[[2]string{m.From, m.To}] {
+func (sim *simulation) deliver(m *consensuspb.Message) {
+	r := sim.find(m.To)
+	if r == nil || r.down || sim.cutLinks[[2]string{m.From, m.To}] {
 		return
 	}
-	if r.frozen {
-		w.network = append(w.network, m)
+	if r.paused {
+		sim.network = append(sim.network, m)
 		return
 	}
 	if err := r.node.Step(m); err != nil {
-		w.fail("%s: %v", r.identity, err)
+		sim.fail("%s: %v", r.identity, err)
 	}
 }
 
-// install finishes a fetch where its source can still be reached.
-func (w *world) install(r *replica) {
+// finishFetch installs the snapshot of a pending fetch if its source is reachable.
+func (sim *simulation) finishFetch(r *replica) {
 	if r.fetch == nil || r.down || r.pending != nil {
 		return
 	}
-	source, wanted := w.find(r.fetch.From), r.fetch.Meta
+	source, wanted := sim.find(r.fetch.From), r.fetch.Meta
 	r.fetch = nil
 	meta := source.disk.snapshot
-	if source.down || w.cut[[2]string{source.identity, r.identity}] || meta.Index < wanted.Index || meta.Index <= r.node.log.commit {
+	if source.down || sim.cutLinks[[2]string{source.identity, r.identity}] || meta.Index < wanted.Index || meta.Index <= r.node.log.commit {
 		return
 	}
 	r.disk.snapshot = meta
-	r.view.applied = meta.Index
+	r.history.applied = meta.Index
 	r.node.Installed(meta)
-	w.installed++
+	sim.installed++
 }
 
-func (w *world) snapshot(r *replica) {
-	meta, ok := r.node.SnapshotMeta(r.view.applied)
+func (sim *simulation) snapshot(r *replica) {
+	meta, ok := r.node.SnapshotMeta(r.history.applied)
 	if !ok || meta.Index <= r.disk.snapshot.GetIndex() || r.pending != nil {
 		return
 	}
@@ -236,64 +239,64 @@
 	for len(r.disk.entries) > 0 && r.disk.entries[0].Index <= meta.Index {
 		r.disk.entries = r.disk.entries[1:]
 	}
-	r.node.Compact(meta.Index - min(meta.Index, w.rng.Uint64N(4)))
+	r.node.Compact(meta.Index - min(meta.Index, sim.rng.Uint64N(4)))
 }
 
-func (w *world) tick(r *replica) {
-	if r.down || r.frozen {
+func (sim *simulation) tick(r *replica) {
+	if r.down || r.paused {
 		return
 	}
 	r.node.Tick()
-	r.view.acknowledgedAt = append(r.view.acknowledgedAt, w.acknowledgedTerm)
+	r.history.acknowledgedTermAt = append(r.history.acknowledgedTermAt, sim.acknowledgedTerm)
 }
 
-func (w *world) propose(r *replica) bool { return w.proposeAll(r, 1) }
+func (sim *simulation) propose(r *replica) bool { return sim.proposeAll(r, 1) }
 
-func (w *world) proposeAll(r *replica, count int) bool {
+func (sim *simulation) proposeAll(r *replica, count int) bool {
 	commands := make([][]byte, count)
 	for i := range commands {
-		w.proposed++
-		commands[i] = []byte(fmt.Sprint("command ", w.proposed))
+		sim.proposed++
+		commands[i] = []byte(fmt.Sprint("command ", sim.proposed))
 	}
 	_, err := r.node.Propose(commands...)
 	return err == nil
 }
 
-// round lets a tick pass everywhere and delivers all messages in order.
-func (w *world) round() {
-	for _, r := range w.replicas {
-		w.tick(r)
+// round advances all replicas by one tick and delivers all messages in order.
+func (sim *simulation) round() {
+	for _, r := range sim.replicas {
+		sim.tick(r)
 	}
-	w.drain()
+	sim.drain()
 }
 
-func (w *world) drain() {
-	for budget := 20000; w.violation == ""; budget-- {
-		for _, r := range w.replicas {
-			w.install(r)
-			w.pump(r, true)
-			w.checkReplica(r)
+func (sim *simulation) drain() {
+	for budget := 20000; sim.violation == ""; budget-- {
+		for _, r := range sim.replicas {
+			sim.finishFetch(r)
+			sim.processReady(r, true)
+			sim.checkReplica(r)
 		}
-		if !slices.ContainsFunc(w.network, func(m *consensuspb.Message) bool { r := w.find(m.To); return r == nil || !r.frozen }) {
+		if !slices.ContainsFunc(sim.network, func(m *consensuspb.Message) bool { r := sim.find(m.To); return r == nil || !r.paused }) {
 			return
 		}
 		if budget == 0 {
-			w.fail("messages without end")
+			sim.fail("messages are exchanged without end")
 		}
-		messages := w.network
-		w.network = nil
+		messages := sim.network
+		sim.network = nil
 		for _, m := range messages {
-			if w.hand(m); w.stop != nil && w.stop() {
+			if sim.deliver(m); sim.stopWhen != nil && sim.stopWhen() {
 				return
 			}
 		}
 	}
 }
 
-// leader is the replica that leads the newest term; nil without one.
-func (w *world) leader() *replica {
+// leader returns the leader of the newest term; nil if there is none.
+func (sim *simulation) leader() *replica {
 	var leader *replica
-	for _, r := range w.replicas {
+	for _, r := range sim.replicas {
 		if !r.down && r.node.role == Leader && (leader == nil || r.node.term > leader.node.term) {
 			leader = r
 		}
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -1,11 +1,14 @@
-// Package consensus is the replicated log of the control replicas: a pure state
-// machine after Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014)
-// with pre-vote, a leader's check of its quorum, read index, learners and
-// one-at-a-time membership change. It starts no goroutine and knows no clock,
-// socket or disk: ticks and messages go in, and Ready says what to sync, send
-// and apply.
+// Package consensus implements the replicated log of the control state as a pure state
+// machine based on Raft, with pre-vote, check quorum, read index, learners and
+// single-server membership changes. It starts no goroutines and uses no clock, socket
+// or disk: the driver passes in ticks and messages, and Ready returns what to sync,
+// send and apply.
 //
-// A Node is not safe for concurrent use: the driver's goroutine owns it.
+// Sections and figures refer to "the thesis" (Ongaro, "Consensus: Bridging Theory and
+// Practice", 2014) and "the Raft paper" (Ongaro and Ousterhout, "In Search of an
+// Understandable Consensus Algorithm", 2014).
+//
+// A Node is not safe for concurrent use; one goroutine of the driver owns it.
 package consensus
 
 import (
@@ -15,41 +18,42 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Config of a Node. Every replica of one log should have the same ticks.
+// Config configures a Node. All replicas of a log should use the same tick counts.
 type Config struct {
-	// Identity is this replica's, made with its data folder.
+	// Identity identifies this replica. It is created together with the data directory.
 	Identity string
-	// ElectionTicks is the shortest election timeout; the longest is twice
-	// that, drawn from Rand.
+	// ElectionTicks is the minimum election timeout in ticks. Each timeout is
+	// randomized, with Rand, between this value and twice this value.
 	ElectionTicks int
-	// MostElectionTicks bounds the shortest election timeout where that follows the silences
-	// and standstills that are seen; 0 where it does not.
+	// MostElectionTicks is the upper bound, in ticks, of the minimum election timeout
+	// when it adapts to the observed silences and process pauses; 0 disables the
+	// adaptation.
 	MostElectionTicks int
-	// HeartbeatTicks is how often a leader sends heartbeats.
+	// HeartbeatTicks is the interval between a leader's heartbeats, in ticks.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entries of one append; a single larger entry
-	// still goes, alone.
+	// MaxAppendBytes limits the encoded size of the entries in one append message. A
+	// single entry larger than that is sent on its own.
 	MaxAppendBytes int
-	// MaxInflight bounds the unanswered appends to one follower, and with
-	// MaxAppendBytes the bytes on their way to it.
+	// MaxInflight limits the unacknowledged append messages per follower and, together
+	// with MaxAppendBytes, the bytes in flight to it.
 	MaxInflight int
-	// Rand is seeded by the caller.
+	// Rand randomizes election timeouts. The caller seeds it.
 	Rand *rand.Rand
 }
 
-// Recovered is what the disk gave back.
+// Recovered is the state read from disk at start.
 type Recovered struct {
 	Hard     *consensuspb.HardState
-	Snapshot *consensuspb.SnapshotMeta // nil before the first
-	Entries  []*consensuspb.Entry      // after the snapshot
-	Applied  uint64                    // index the state machine stands at, the snapshot's or a later one
+	Snapshot *consensuspb.SnapshotMeta // nil before the first snapshot
+	Entries  []*consensuspb.Entry      // entries after the snapshot
+	Applied  uint64                    // index up to which the state machine has applied; at least the snapshot's
 }
 
-// bootstrapIndex is where the first configuration stands on every first voter.
+// bootstrapIndex is the log index of the initial configuration on every initial voter.
 const bootstrapIndex = 1
 
-// Bootstrap gives the same first state to every first voter: a snapshot at
-// index 1 with the first configuration.
+// Bootstrap returns the initial state that all initial voters share: a snapshot at
+// bootstrapIndex that contains the first configuration.
 func Bootstrap(members []*consensuspb.Member) Recovered {
 	return Recovered{
 		Hard: &consensuspb.HardState{Term: 1, Commit: bootstrapIndex},
@@ -62,15 +66,16 @@
 	}
 }
 
-// safeguards that tests switch off, to show that the checker notices.
+// safeguards are protocol rules that tests disable one by one to verify that the model
+// checker detects the resulting violation. A set field disables its rule.
 type safeguards struct {
-	preVote       bool
-	stickiness    bool
-	quorumContact bool
-	ownTermCommit bool
-	ownTermChange bool
-	majority      bool
-	readRounds    bool
+	preVote           bool
+	stickiness        bool
+	checkQuorum       bool
+	currentTermCommit bool
+	currentTermChange bool
+	majority          bool
+	readRounds        bool
 }
 
 // Node is one replica of the log.
@@ -83,44 +88,46 @@
 	vote   string
 	leader string
 	log    entryLog
-	// configurations are those in the log, newest last.
+	// configurations holds the configurations in the log, newest last.
 	configurations configurations
 
-	// now counts the ticks since New.
+	// now is the number of ticks since New.
 	now uint64
-	// elapsed counts the ticks since the leader was heard or a campaign began.
+	// elapsed is the number of ticks since the last message from the leader or, without
+	// one, since the last campaign began.
 	elapsed int
-	// drawn lengthens this replica's election timeout by its part of ElectionTicks.
-	drawn    int
-	patience patience
-	votes    ballot
+	// jitter lengthens the election timeout by jitter/ElectionTicks of its minimum.
+	jitter          int
+	electionTimeout electionTimeout
+	votes           voteTally
 
-	// progress is a leader's view of the other members, in the order of the
-	// configuration; nil elsewhere.
+	// progress is the replication state of the other members, in configuration order.
+	// It is nil unless this replica is the leader.
 	progress []*progress
-	// commitAtBeat is the commit index at the last two heartbeats.
-	commitAtBeat [2]uint64
-	reads        readRounds
-	transfer     transfer
+	// commitAtHeartbeat is the commit index at the last two heartbeats, older first.
+	commitAtHeartbeat [2]uint64
+	reads             readRounds
+	transfer          transfer
 
 	outbox      []*consensuspb.Message
 	fetch       *Fetch
 	saved       hardState
-	outstanding *handedOver
-	// failed is set for good when the log contradicts what was committed: to
-	// go on would spread the contradiction.
-	failed error
+	outstanding *pendingReady
+	// fatalErr is set permanently when the log contradicts a committed entry:
+	// continuing could spread the inconsistency to other replicas.
+	fatalErr error
 }
 
-// New makes a Node from what the disk gave back. An empty Recovered is a
-// replica that waits to be added to a configuration.
+// New creates a Node from the recovered state. With an empty Recovered the replica
+// waits until it is added to a configuration.
 func New(config Config, recovered Recovered) *Node {
-	n := &Node{config: config, patience: newPatience(config)}
+	n := &Node{config: config, electionTimeout: newElectionTimeout(config)}
 	n.log = newEntryLog(recovered)
 	n.term = recovered.Hard.GetTerm()
 	n.vote = recovered.Hard.GetVote()
-	// A crash in the middle of a sync can leave entries of a term whose hard
-	// state was lost. No vote in that term was ever sent, so forgetting it is safe.
+	// A crash during a sync can leave entries of a term whose hard state was not
+	// persisted. No vote of that term was sent, since votes are sent after the sync, so
+	// it is safe to reset the vote.
 	if last := n.log.lastTerm(); last > n.term {
 		n.term, n.vote = last, ""
 	}
@@ -128,52 +135,53 @@
 	if recovered.Snapshot != nil {
 		n.configurations.reset(recovered.Snapshot)
 	}
-	n.failed = n.configurations.take(n.log.entries)
+	n.fatalErr = n.configurations.addFrom(n.log.entries)
 	n.resetTimeout()
 	return n
 }
 
-// Tick tells the Node that one tick has passed. A driver that was held up
-// calls it once for every tick it missed, so that ages are not understated.
+// Tick advances the logical clock by one tick. A driver that was delayed calls it once
+// for each missed tick, so that ages are not underestimated.
 func (n *Node) Tick() {
-	if n.failed != nil {
+	if n.fatalErr != nil {
 		return
 	}
 	n.now++
 	n.elapsed++
-	n.patience.pass(n.now)
+	n.electionTimeout.tick(n.now)
 	if n.role == Leader {
 		n.tickLeader()
 		return
 	}
-	if n.elapsed >= n.timeout() {
+	if n.elapsed >= n.randomizedTimeout() {
 		n.campaign()
 	}
 }
 
-// Step takes a message of another replica. It fails with WrongAnswer when the
-// message is for another identity and with Corrupt when the log contradicts
-// what was committed; after the latter the Node does nothing more.
+// Step processes a message from another replica. It returns WrongAnswer if the message
+// is addressed to another identity and Corrupt if the log contradicts a committed
+// entry; after Corrupt the Node no longer does anything.
 func (n *Node) Step(m *consensuspb.Message) error {
-	if n.failed != nil {
-		return n.failed
+	if n.fatalErr != nil {
+		return n.fatalErr
 	}
 	if m.To != n.config.Identity {
-		return failure.New(failure.WrongAnswer, "message for replica %s reached %s", m.To, n.config.Identity)
+		return failure.New(failure.WrongAnswer, "message for replica %s received by replica %s", m.To, n.config.Identity)
 	}
 	if m.Term < n.term {
-		n.refuseStale(m)
+		n.rejectStale(m)
 		return nil
 	}
-	if m.Term > n.term && !n.takeTerm(m) {
+	if m.Term > n.term && !n.adoptTerm(m) {
 		return nil
 	}
-	n.failed = n.handle(m)
-	return n.failed
+	n.fatalErr = n.handle(m)
+	return n.fatalErr
 }
 
-// refuseStale tells a sender of an older term of the newer one.
-func (n *Node) refuseStale(m *consensuspb.Message) {
+// rejectStale answers a message of an older term with a rejection that carries the
+// current term.
+func (n *Node) rejectStale(m *consensuspb.Message) {
 	switch m.Kind {
 	case consensuspb.MessageKind_MESSAGE_KIND_PRE_VOTE:
 		n.send(&consensuspb.Message{Kind: consensuspb.MessageKind_MESSAGE_KIND_PRE_VOTE_REPLY, To: m.From, Reject: true})
@@ -184,8 +192,10 @@
 	}
 }
 
-// takeTerm follows a message into its newer term and tells whether to handle it.
-func (n *Node) takeTerm(m *consensuspb.Message) bool {
+// adoptTerm updates the term from a message of a newer term and reports whether to
+// process the message. Pre-votes and granted pre-vote replies carry a prospective term,
+// which is not adopted.
+func (n *Node) adoptTerm(m *consensuspb.Message) bool {
 	switch m.Kind {
 	case consensuspb.MessageKind_MESSAGE_KIND_PRE_VOTE:
 		return true
@@ -194,7 +204,7 @@
 			return true
 		}
 	case consensuspb.MessageKind_MESSAGE_KIND_VOTE:
-		if !m.Transfer && n.hearsLeader(m.From) {
+		if !m.Transfer && n.hasLiveLeader(m.From) {
 			return false
 		}
 	}
@@ -228,7 +238,7 @@
 	return nil
 }
 
-// send queues a message; its term is this Node's unless set.
+// send queues a message. The message's term defaults to the current term.
 func (n *Node) send(m *consensuspb.Message) {
 	m.From = n.config.Identity
 	if m.Term == 0 {
--- a/internal/coordination/consensus/patience.go
+++ b/internal/coordination/consensus/patience.go
@@ -2,59 +2,63 @@
 
 import "pinewinch.example/pinewinch/internal/coordination/recent"
 
-// patienceWindow, in shortest election timeouts, is for how long at the least a silence is
-// remembered, and for twice as long at the most.
-const patienceWindow = 60
-
-// patience is how long the silence of a leader, or on a leader of its quorum, is borne. It
-// follows the silences of those that lived, and the standstills of this replica itself: on
-// a machine where processes stand still for longer than the shortest election timeout again
-// and again, no leader would live for long enough to do anything. What lasts longer than
-// the longest patience is an outage, and teaches nothing; nor does the return of a replica
-// that was lost, as it may have started again meanwhile.
-type patience struct {
-	shortest, longest int
-	// seen is the longest of two windows, the newer of which began at the tick began.
-	seen  recent.Largest[int]
-	began uint64
-	// leader of term was last heard at the tick heard.
-	leader string
-	term   uint64
-	heard  uint64
+// silenceWindow is the length of one observation window, in minimum election timeouts.
+// A silence is remembered for at least one and at most two windows.
+const silenceWindow = 60
+
+// electionTimeout is the adaptive minimum election timeout: how long a follower
+// tolerates silence of its leader, and a leader silence of its quorum. It follows the
+// silences of replicas that turned out to be alive and the pauses of this process. On a
+// machine that repeatedly pauses processes for longer than ElectionTicks, a fixed
+// timeout would depose every leader before it makes progress. Silences longer than
+// maxTicks are outages and are not learned from. Neither is the return of a lost
+// replica, which may have restarted in the meantime.
+type electionTimeout struct {
+	minTicks, maxTicks int
+	// maxSilence is the longest silence, in ticks, in the current and the previous
+	// window; windowStart is the tick at which the current one began.
+	maxSilence  recent.Largest[int]
+	windowStart uint64
+	// lastHeard is the tick of the last message from leader in term.
+	leader    string
+	term      uint64
+	lastHeard uint64
 }
 
-func newPatience(config Config) patience {
-	return patience{shortest: config.ElectionTicks, longest: max(config.MostElectionTicks, config.ElectionTicks)}
+func newElectionTimeout(config Config) electionTimeout {
+	return electionTimeout{minTicks: config.ElectionTicks, maxTicks: max(config.MostElectionTicks, config.ElectionTicks)}
 }
 
-// ticks that a silence is borne for: twice the longest that was seen lately.
-func (p *patience) ticks() int {
-	return min(max(p.shortest, 2*p.seen.Value()), p.longest)
+// ticks returns the current minimum election timeout: twice the longest recent silence,
+// within the bounds.
+func (e *electionTimeout) ticks() int {
+	return min(max(e.minTicks, 2*e.maxSilence.Value()), e.maxTicks)
 }
 
-// pass notes the time.
-func (p *patience) pass(now uint64) {
-	if now-p.began >= uint64(patienceWindow*p.shortest) {
-		p.seen.Turn()
-		p.began = now
+// tick starts a new observation window when the current one is over.
+func (e *electionTimeout) tick(now uint64) {
+	if now-e.windowStart >= uint64(silenceWindow*e.minTicks) {
+		e.maxSilence.Turn()
+		e.windowStart = now
 	}
 }
 
-// hearLeader notes that the leader of a term is heard.
-func (p *patience) hearLeader(identity string, term, now uint64) {
-	if p.leader == identity && p.term == term {
-		p.learn(int(now - p.heard))
+// observeLeader records a message from the leader of a term. The interval since the
+// previous message counts as a silence only if leader and term are unchanged.
+func (e *electionTimeout) observeLeader(identity string, term, now uint64) {
+	if e.leader == identity && e.term == term {
+		e.observe(int(now - e.lastHeard))
 	}
-	p.leader, p.term, p.heard = identity, term, now
+	e.leader, e.term, e.lastHeard = identity, term, now
 }
 
-// learn takes in a silence of one that lived, in ticks.
-func (p *patience) learn(silence int) {
-	if silence <= p.longest {
-		p.seen.See(silence)
+// observe records a silence, in ticks, of a replica that is alive.
+func (e *electionTimeout) observe(silence int) {
+	if silence <= e.maxTicks {
+		e.maxSilence.See(silence)
 	}
 }
 
-// StoodStill tells the Node that its driver was held up for so many ticks: the others may
-// be, too.
-func (n *Node) StoodStill(ticks int) { n.patience.learn(ticks) }
+// StoodStill reports that the driver was paused for a number of ticks. It counts as a
+// silence, since the other replicas may be paused for as long.
+func (n *Node) StoodStill(ticks int) { n.electionTimeout.observe(ticks) }
--- a/internal/coordination/consensus/patience_test.go
+++ b/internal/coordination/consensus/patience_test.go
@@ -7,112 +7,117 @@
 	"github.com/matryer/is"
 )
 
-var patientConfig = Config{ElectionTicks: 10, MostElectionTicks: 40, HeartbeatTicks: 3, MaxAppendBytes: 1 << 20, MaxInflight: 32}
+var adaptiveConfig = Config{ElectionTicks: 10, MostElectionTicks: 40, HeartbeatTicks: 3, MaxAppendBytes: 1 << 20, MaxInflight: 32}
 
-// standstills freezes one replica after the other, for up to most ticks each, and lets it
-// make up for the ticks as the driver does: a leader for all, the others for a few.
-func (w *world) standstills(random *rand.Rand, ticks, most int) {
+// pauseReplicas pauses one replica after another, for up to maxPause ticks each, and
+// then makes up for the missed ticks as the driver does: all of them on a leader, at
+// most HeartbeatTicks on the others.
+func (sim *simulation) pauseReplicas(random *rand.Rand, ticks, maxPause int) {
 	for at := 0; at < ticks; {
 		for range 10 + random.IntN(30) {
-			w.round()
+			sim.round()
 			at++
 		}
-		r := w.replicas[random.IntN(len(w.replicas))]
-		stood := 1 + random.IntN(most)
-		r.frozen = true
-		for range stood {
-			w.round()
+		r := sim.replicas[random.IntN(len(sim.replicas))]
+		length := 1 + random.IntN(maxPause)
+		r.paused = true
+		for range length {
+			sim.round()
 			at++
 		}
-		r.frozen = false
-		w.drain()
-		r.node.StoodStill(stood)
-		missed := stood
+		r.paused = false
+		sim.drain()
+		r.node.StoodStill(length)
+		missed := length
 		if r.node.role != Leader {
-			missed = min(stood, w.config.HeartbeatTicks)
+			missed = min(length, sim.config.HeartbeatTicks)
 		}
 		for range missed {
-			w.tick(r)
+			sim.tick(r)
 		}
-		w.drain()
+		sim.drain()
 	}
 }
 
-func termOf(w *world) uint64 {
+func newestTerm(sim *simulation) uint64 {
 	var newest uint64
-	for _, r := range w.replicas {
+	for _, r := range sim.replicas {
 		newest = max(newest, r.node.term)
 	}
 	return newest
 }
 
-// Leaders are lost again and again on a machine whose processes stand still for longer than
-// the shortest election timeout, and no leader lives for long enough to do anything.
+// On a machine that pauses processes for longer than the minimum election timeout, a
+// fixed timeout deposes leaders again and again before they make progress. The adaptive
+// timeout must lose at most a tenth as many leaders.
 func TestLeaderLivesWhereReplicasStandStill(t *testing.T) {
-	lost := func(config Config) (terms uint64) {
+	leadersLost := func(config Config) (terms uint64) {
 		for seed := range uint64(20) {
-			w := newWorld(seed, 3, config, planted{})
+			sim := newSimulation(seed, 3, config, injectedFaults{})
 			random := rand.New(rand.NewPCG(seed, 9))
-			w.standstills(random, 300, 18)
-			learnt := termOf(w)
-			w.standstills(random, 1500, 18)
-			terms += termOf(w) - learnt
-			if w.violation != "" {
-				t.Fatalf("seed %d: %s", seed, w.violation)
+			sim.pauseReplicas(random, 300, 18)
+			adapted := newestTerm(sim)
+			sim.pauseReplicas(random, 1500, 18)
+			terms += newestTerm(sim) - adapted
+			if sim.violation != "" {
+				t.Fatalf("seed %d: %s", seed, sim.violation)
 			}
 		}
 		return terms
 	}
-	impatient := patientConfig
-	impatient.MostElectionTicks = 0
-	before, after := lost(impatient), lost(patientConfig)
-	t.Logf("leaders lost in 20 x 1500 ticks: %d with a fixed timeout, %d with one that follows", before, after)
-	is.New(t).True(after*10 <= before)
+	fixed := adaptiveConfig
+	fixed.MostElectionTicks = 0
+	withFixed, withAdaptive := leadersLost(fixed), leadersLost(adaptiveConfig)
+	t.Logf("leaders lost in 20 x 1500 ticks: %d with a fixed timeout, %d with an adaptive one", withFixed, withAdaptive)
+	is.New(t).True(withAdaptive*10 <= withFixed)
 }
 
-// A leader that dies where replicas had stood still leaves the log without a leader for
-// longer than the longest timeout allows, or a calm hour later for as long still.
-func TestPatienceIsBoundedAndForgotten(t *testing.T) {
+// The adaptive timeout must neither exceed its maximum nor outlast the observation
+// windows: otherwise the loss of a leader after a phase of pauses would leave the log
+// without a leader for too long, even an hour after the last pause.
+func TestElectionTimeoutIsBoundedAndDecays(t *testing.T) {
 	is := is.New(t)
-	p := newPatience(patientConfig)
-	is.Equal(p.ticks(), 10)
-	p.learn(12)
-	is.Equal(p.ticks(), 24)
-	p.learn(30)
-	is.Equal(p.ticks(), 40)
-	p.pass(601)
-	is.Equal(p.ticks(), 40)
-	p.pass(1202)
-	is.Equal(p.ticks(), 10)
-	p.learn(41)
-	is.Equal(p.ticks(), 10)
-	p.hearLeader("a", 3, 1000)
-	p.hearLeader("a", 4, 1015)
-	is.Equal(p.ticks(), 10)
-	p.hearLeader("a", 4, 1030)
-	is.Equal(p.ticks(), 30)
+	timeout := newElectionTimeout(adaptiveConfig)
+	is.Equal(timeout.ticks(), 10)
+	timeout.observe(12)
+	is.Equal(timeout.ticks(), 24)
+	timeout.observe(30)
+	is.Equal(timeout.ticks(), 40)
+	timeout.tick(601)
+	is.Equal(timeout.ticks(), 40)
+	timeout.tick(1202)
+	is.Equal(timeout.ticks(), 10)
+	timeout.observe(41)
+	is.Equal(timeout.ticks(), 10)
+	timeout.observeLeader("a", 3, 1000)
+	timeout.observeLeader("a", 4, 1015)
+	is.Equal(timeout.ticks(), 10)
+	timeout.observeLeader("a", 4, 1030)
+	is.Equal(timeout.ticks(), 30)
 }
 
-// The loss of a leader is borne for the shortest timeout where nothing stood still.
+// Without pauses, a failed leader must be replaced within the minimum election timeout
+// and its jitter.
 func TestCalmLeaderIsReplacedSoon(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(1, 3, patientConfig, planted{})
+	sim := newSimulation(1, 3, adaptiveConfig, injectedFaults{})
 	for range 100 {
-		w.round()
+		sim.round()
 	}
-	leader := w.leader()
+	leader := sim.leader()
 	leader.down = true
 	rounds := 0
-	for ; w.leader() == nil && rounds < 100; rounds++ {
-		w.round()
+	for ; sim.leader() == nil && rounds < 100; rounds++ {
+		sim.round()
 	}
-	is.True(rounds <= 2*patientConfig.ElectionTicks+2)
+	is.True(rounds <= 2*adaptiveConfig.ElectionTicks+2)
 }
 
-// What a client was told does not stay true where election timeouts follow silences.
-func TestSchedulesWithTimeoutsThatFollow(t *testing.T) {
-	sums := search(*schedules/2, planted{patient: true})
-	if sums.violation != "" {
-		t.Fatalf("seed %d: %s", sums.seed, sums.violation)
+// The model check with adaptive election timeouts: what was acknowledged to a client
+// must remain true.
+func TestSchedulesWithAdaptiveTimeouts(t *testing.T) {
+	result := search(*schedules/2, injectedFaults{adaptiveTimeout: true})
+	if result.violation != "" {
+		t.Fatalf("seed %d: %s", result.seed, result.violation)
 	}
 }
--- a/internal/coordination/consensus/progress.go
+++ b/internal/coordination/consensus/progress.go
@@ -2,49 +2,52 @@
 
 import "pinewinch.example/pinewinch/internal/protocol/consensuspb"
 
-// ProgressState is how a leader replicates to one member.
+// ProgressState is the replication mode of one member.
 type ProgressState int
 
 const (
-	// Probing sends one append at a time until the logs are known to agree.
+	// Probing sends one append at a time until the matching index is known.
 	Probing ProgressState = iota
-	// Replicating sends batches without waiting for answers, up to MaxInflight.
+	// Replicating pipelines appends, up to MaxInflight, without waiting for replies.
 	Replicating
 	// Installing waits until the member has fetched a snapshot.
 	Installing
 )
 
-// String names the state for logs and dumps.
+// String returns the name of the state for logs and dumps.
 func (s ProgressState) String() string {
 	return [...]string{"probing", "replicating", "installing"}[s]
 }
 
-// sent is an append on its way.
-type sent struct {
+// inflightAppend is an append that has not been acknowledged.
+type inflightAppend struct {
 	last  uint64 // index of its last entry
-	round uint64 // newest round when it left
+	round uint64 // newest read round when it was sent
 }
 
-// progress is a leader's view of one other member.
+// progress is the leader's view of one other member.
 type progress struct {
 	identity string
 	state    ProgressState
-	match    uint64 // newest index known to be durable there
+	match    uint64 // newest index known to be durable on the member
 	next     uint64 // index of the next entry to send
-	// told is the commit index that it surely takes from what was sent.
-	told  uint64
-	round uint64 // newest round that it answered
-	// answered and heard tell whether, and at which tick, it last answered.
-	answered bool
-	heard    uint64
-	// waiting stops a probe until it or a heartbeat is answered.
-	waiting  bool
-	inflight []sent
-	// snapshotTick is when the member was last told to fetch a snapshot.
+	// sentCommit is the commit index that the member learns from the messages sent so
+	// far, if they arrive.
+	sentCommit uint64
+	round      uint64 // newest read round that the member has answered
+	// hasReplied tells whether the member has replied to this leader, and lastReply the
+	// tick of its last reply.
+	hasReplied bool
+	lastReply  uint64
+	// probeSent blocks further probes until the outstanding one, or a heartbeat, is
+	// answered.
+	probeSent bool
+	inflight  []inflightAppend
+	// snapshotTick is the tick at which the member was last asked to fetch a snapshot.
 	snapshotTick uint64
-	// leaving marks a removed member, which gets the log until it knows that its
-	// removal is committed: it then stops to campaign.
-	leaving bool
+	// removed marks a member that was removed from the configuration. It still receives
+	// the log until it knows that its removal is committed, and then stops campaigning.
+	removed bool
 }
 
 func (n *Node) progressOf(identity string) *progress {
@@ -56,8 +59,8 @@
 	return nil
 }
 
-// followConfiguration makes the progress list follow the newest configuration.
-func (n *Node) followConfiguration() {
+// updateProgress aligns the progress list with the newest configuration.
+func (n *Node) updateProgress() {
 	var list []*progress
 	configuration := n.configurations.newest()
 	for _, m := range configuration.GetMembers() {
@@ -68,39 +71,41 @@
 		if p == nil {
 			p = &progress{identity: m.Identity, next: n.log.last() + 1}
 		}
-		// One that was removed and is added again may not have left yet.
-		p.leaving = false
+		// A member that was removed and added again may still be in the list as
+		// removed.
+		p.removed = false
 		list = append(list, p)
 	}
 	for _, p := range n.progress {
 		if member(configuration, p.identity) == nil {
-			p.leaving = true
+			p.removed = true
 			list = append(list, p)
 		}
 	}
 	n.progress = list
 }
 
-// live tells whether the member answered within the shortest election timeout.
+// live reports whether the member has replied within the last ElectionTicks.
 func (n *Node) live(p *progress) bool {
-	return p.answered && n.now-p.heard < uint64(n.config.ElectionTicks)
+	return p.hasReplied && n.now-p.lastReply < uint64(n.config.ElectionTicks)
 }
 
-// caughtUp tells whether the member holds all that was committed two
-// heartbeats ago: it then lags by less than the time a change takes, and its
-// vote does not hold up the next commits.
+// caughtUp reports whether the member stores all entries that were committed two
+// heartbeats ago. Its lag is then shorter than a membership change takes, so that its
+// vote does not delay the next commits.
 func (n *Node) caughtUp(p *progress) bool {
-	return n.live(p) && p.state == Replicating && p.match >= n.commitAtBeat[0]
+	return n.live(p) && p.state == Replicating && p.match >= n.commitAtHeartbeat[0]
 }
 
 func (p *progress) probe(next uint64) {
 	p.state = Probing
 	p.next = max(next, p.match+1)
 	p.inflight = nil
-	p.waiting = false
+	p.probeSent = false
 }
 
-// advance takes an acknowledgement up to index and tells whether it is news.
+// advance processes an acknowledgement up to index and reports whether the match index
+// increased.
 func (p *progress) advance(index uint64) bool {
 	for len(p.inflight) > 0 && p.inflight[0].last <= index {
 		p.inflight = p.inflight[1:]
@@ -113,32 +118,32 @@
 	return true
 }
 
-// lost tells whether the oldest append must have been lost: the member has
-// answered a heartbeat that left two rounds after it.
-func (p *progress) lost() bool {
+// appendLost reports whether the oldest unacknowledged append was lost: the member has
+// answered a heartbeat sent at least two rounds later.
+func (p *progress) appendLost() bool {
 	return len(p.inflight) > 0 && p.round >= p.inflight[0].round+2
 }
 
-// full tells whether flow control holds back the next append.
-func (p *progress) full(maxInflight int) bool {
+// throttled reports whether flow control blocks the next append.
+func (p *progress) throttled(maxInflight int) bool {
 	switch p.state {
 	case Probing:
-		return p.waiting
+		return p.probeSent
 	case Replicating:
 		return len(p.inflight) >= maxInflight
 	}
 	return true
 }
 
-// record notes an append that leaves with these entries.
-func (p *progress) record(entries []*consensuspb.Entry, round uint64) {
+// recordAppend accounts for an append of these entries that is being sent.
+func (p *progress) recordAppend(entries []*consensuspb.Entry, round uint64) {
 	if p.state == Probing {
-		p.waiting = true
+		p.probeSent = true
 		return
 	}
 	if len(entries) == 0 {
 		return
 	}
 	p.next += uint64(len(entries))
-	p.inflight = append(p.inflight, sent{last: p.next - 1, round: round})
+	p.inflight = append(p.inflight, inflightAppend{last: p.next - 1, round: round})
 }
--- a/internal/coordination/consensus/propose.go
+++ b/internal/coordination/consensus/propose.go
@@ -7,11 +7,11 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// leading fails on a replica that doesn't lead: NotLeader with the leader's
-// instance, or NoLeader.
-func (n *Node) leading() error {
-	if n.failed != nil {
-		return n.failed
+// checkLeader fails on a replica that is not the leader: with NotLeader and the
+// leader's instance, or with NoLeader.
+func (n *Node) checkLeader() error {
+	if n.fatalErr != nil {
+		return n.fatalErr
 	}
 	if n.role == Leader {
 		return nil
@@ -24,46 +24,46 @@
 	return f
 }
 
-func (n *Node) accepting() error {
-	if err := n.leading(); err != nil {
+func (n *Node) checkAccepting() error {
+	if err := n.checkLeader(); err != nil {
 		return err
 	}
-	if n.transfer.to != "" {
-		return failure.New(failure.NotReady, "leadership is being handed over")
+	if n.transfer.target != "" {
+		return failure.New(failure.NotReady, "leadership transfer in progress")
 	}
 	return nil
 }
 
-// Propose appends commands to the leader's log and gives the index of the
-// first. They are committed once they come back in Ready.Committed with the
-// same index and the term of the proposal; another term there means that they
-// were replaced. It fails with NotLeader, NoLeader or NotReady, and nothing was
-// appended then.
+// Propose appends commands to the leader's log and returns the index of the first. A
+// command is committed once Ready.Committed contains it at its index with the term of
+// the proposal; an entry of another term at that index means that the command was
+// overwritten. Propose fails with NotLeader, NoLeader or NotReady, and then nothing was
+// appended.
 func (n *Node) Propose(data ...[]byte) (uint64, error) {
-	if err := n.accepting(); err != nil {
+	if err := n.checkAccepting(); err != nil {
 		return 0, err
 	}
-	return n.appendOwn(consensuspb.EntryKind_ENTRY_KIND_COMMAND, data...), nil
+	return n.appendLocal(consensuspb.EntryKind_ENTRY_KIND_COMMAND, data...), nil
 }
 
-// ProposeConfiguration appends a configuration that differs from the newest in
-// one member: a learner added, a learner promoted, or a member removed. It
-// fails, with nothing appended, with
-//   - NotReady before the leader has committed in its own term: two leaders
-//     could otherwise change the same configuration so that their quorums
-//     don't meet;
-//   - ChangePending while the last change isn't committed;
-//   - NotCaughtUp for a learner that lags;
-//   - NoQuorum where the live voters would be no quorum of the new one.
+// ProposeConfiguration appends a configuration that differs from the newest one in a
+// single member: a learner added, a learner promoted to voter, or a member removed. It
+// appends nothing if it fails, with
+//   - NotReady before the leader has committed an entry of its own term: otherwise two
+//     leaders could change the same configuration such that their quorums do not
+//     overlap;
+//   - ChangePending while the previous change is not committed;
+//   - NotCaughtUp for the promotion of a learner that lags behind;
+//   - NoQuorum if the live voters are no quorum of the new configuration.
 func (n *Node) ProposeConfiguration(next *consensuspb.Configuration) (uint64, error) {
-	if err := n.accepting(); err != nil {
+	if err := n.checkAccepting(); err != nil {
 		return 0, err
 	}
-	if !n.committedInTerm() && !n.disabled.ownTermChange {
-		return 0, failure.New(failure.NotReady, "this leader has not committed in its term yet")
+	if !n.committedInTerm() && !n.disabled.currentTermChange {
+		return 0, failure.New(failure.NotReady, "leader has not committed an entry in its term yet")
 	}
 	if n.configurations.newestIndex() > n.log.commit {
-		return 0, failure.New(failure.ChangePending, "a change of members is not committed yet")
+		return 0, failure.New(failure.ChangePending, "previous membership change is not committed yet")
 	}
 	if err := n.checkChange(next); err != nil {
 		return 0, err
@@ -72,8 +72,9 @@
 	if err != nil {
 		return 0, failure.Wrap(failure.Internal, err, "configuration")
 	}
-	n.configurations = append(n.configurations, placed{n.log.last() + 1, proto.CloneOf(next)})
-	// Before the append, so that a new member's first append has the entry to carry.
-	n.followConfiguration()
-	return n.appendOwn(consensuspb.EntryKind_ENTRY_KIND_CONFIGURATION, data), nil
+	n.configurations = append(n.configurations, indexedConfiguration{n.log.last() + 1, proto.CloneOf(next)})
+	// Updated before the append, so that the first append message to a new member
+	// contains the entry.
+	n.updateProgress()
+	return n.appendLocal(consensuspb.EntryKind_ENTRY_KIND_CONFIGURATION, data), nil
 }
--- a/internal/coordination/consensus/read.go
+++ b/internal/coordination/consensus/read.go
@@ -1,33 +1,33 @@
 package consensus
 
-// ReadState confirms a read round: a reader of that round may read once the
-// state machine has applied Index.
+// ReadState confirms a read round: reads of that round may be served once the state
+// machine has applied Index.
 type ReadState struct {
 	Round uint64
 	Index uint64
 }
 
-// begun is a round that no quorum has answered yet.
-type begun struct {
-	round uint64
-	tick  uint64
+// openRound is a round that no quorum has acknowledged yet.
+type openRound struct {
+	round     uint64
+	startTick uint64
 }
 
-// pendingRead waits for its round; its index is 0 until the leader has
-// committed in its own term.
+// pendingRead is a read whose round is not confirmed yet. Its index is 0 until the
+// leader has committed an entry of its own term.
 type pendingRead struct {
 	round uint64
 	index uint64
 }
 
-// readRounds are a leader's rounds of heartbeats. A quorum that answers a
-// round recognised this leader after the round began (thesis, 6.4). The number
-// of a round is never used twice by one Node.
+// readRounds tracks the heartbeat rounds of a leader. Acknowledgements of a round by a
+// quorum prove that this replica was still the leader after the round began (thesis,
+// section 6.4). A Node never reuses a round number.
 type readRounds struct {
-	round         uint64 // the newest
-	unsent        bool   // the newest has not been sent yet
-	open          []begun
-	confirmedTick uint64 // when the newest confirmed round began
+	round         uint64 // newest round
+	unsent        bool   // the newest round has not been sent yet
+	open          []openRound
+	confirmedTick uint64 // tick at which the newest confirmed round began
 	waiting       []pendingRead
 	confirmed     []ReadState
 }
@@ -36,12 +36,12 @@
 	*r = readRounds{round: r.round, confirmed: r.confirmed}
 }
 
-// ReadIndex starts a read that must see everything committed before it. The
-// round is confirmed by a ReadState in a Ready; reads made between two Readys
-// share one. A round that is unconfirmed when the replica ceases to lead never
-// will be.
+// ReadIndex starts a linearizable read, which observes everything committed before the
+// call, and returns its round. A later Ready confirms the round with a ReadState; reads
+// started between two Readys share a round. A round that is unconfirmed when the
+// replica loses leadership is never confirmed.
 func (n *Node) ReadIndex() (uint64, error) {
-	if err := n.leading(); err != nil {
+	if err := n.checkLeader(); err != nil {
 		return 0, err
 	}
 	n.startRound()
@@ -58,32 +58,32 @@
 	return read.round, nil
 }
 
-// startRound begins a round unless one waits to be sent.
+// startRound begins a new round unless the newest one has not been sent yet.
 func (n *Node) startRound() {
 	if n.reads.unsent {
 		return
 	}
 	n.reads.round++
 	n.reads.unsent = true
-	n.reads.open = append(n.reads.open, begun{n.reads.round, n.now})
+	n.reads.open = append(n.reads.open, openRound{n.reads.round, n.now})
 	n.confirmRounds()
 }
 
-// confirmRounds closes the rounds that a quorum has answered.
+// confirmRounds closes the rounds that a quorum has acknowledged.
 func (n *Node) confirmRounds() {
-	answered := n.quorumValue(n.reads.round, func(p *progress) uint64 { return p.round })
-	if n.role == Leader && len(n.reads.open) > 0 && n.reads.open[0].round <= answered {
-		n.patience.learn(n.silence())
+	acknowledged := n.quorumValue(n.reads.round, func(p *progress) uint64 { return p.round })
+	if n.role == Leader && len(n.reads.open) > 0 && n.reads.open[0].round <= acknowledged {
+		n.electionTimeout.observe(n.ticksSinceQuorum())
 	}
-	for len(n.reads.open) > 0 && n.reads.open[0].round <= answered {
-		n.reads.confirmedTick = n.reads.open[0].tick
+	for len(n.reads.open) > 0 && n.reads.open[0].round <= acknowledged {
+		n.reads.confirmedTick = n.reads.open[0].startTick
 		n.reads.open = n.reads.open[1:]
 	}
-	n.settleReads()
+	n.releaseReads()
 }
 
-// settleReads releases the reads whose round is closed.
-func (n *Node) settleReads() {
+// releaseReads confirms the reads whose round is closed.
+func (n *Node) releaseReads() {
 	for len(n.reads.waiting) > 0 {
 		read := n.reads.waiting[0]
 		if read.index == 0 && n.committedInTerm() {
@@ -98,5 +98,6 @@
 	}
 }
 
-// quorumAge is how many ticks ago a quorum surely recognised this leader.
+// quorumAge is an upper bound on the ticks since a quorum last acknowledged this
+// leader.
 func (n *Node) quorumAge() int { return int(n.now - n.reads.confirmedTick) }
--- a/internal/coordination/consensus/ready.go
+++ b/internal/coordination/consensus/ready.go
@@ -2,52 +2,54 @@
 
 import "pinewinch.example/pinewinch/internal/protocol/consensuspb"
 
-// maxCommitted bounds the entries of one Ready.Committed: a replica that starts with
-// a long log takes messages and campaigns between two parts. At up to 0.7 ms an entry
-// a part takes 0.1 s, a quarter of the shortest election timeout.
+// maxCommitted limits the entries in one Ready.Committed, so that a replica that starts
+// with a long log processes messages and campaigns between batches. At up to 0.7 ms per
+// entry a batch takes 0.1 s, a quarter of the minimum election timeout.
 const maxCommitted = 128
 
-// Ready is carried out in this order: sync Hard and Entries (one sync), then
-// send Messages, then apply Committed. Entries may replace a tail with the same
-// indexes. But for the first Early ones, no message may leave before the sync:
-// it would promise a vote or an entry that a crash takes back.
+// Ready is the work for the driver. It must sync Hard and Entries (in one sync), then
+// send Messages, then apply Committed. Entries may replace stored entries with the same
+// indexes. Except for the first Early messages, no message may be sent before the sync:
+// it would promise a vote or an entry that a crash can undo.
 type Ready struct {
-	// Hard is nil where term and vote are unchanged and there are no entries.
-	// A commit index alone causes no sync: it is found again from the leader.
+	// Hard is nil if term and vote are unchanged and there are no entries. A change of
+	// the commit index alone needs no sync: after a restart it is learned from the
+	// leader.
 	Hard     *consensuspb.HardState
 	Entries  []*consensuspb.Entry
 	Messages []*consensuspb.Message
-	// Early is how many Messages, from the front, may leave before the sync or
-	// beside it: a leader's appends and heartbeats, whose entries it counts as
-	// its own only after Advance (thesis, 10.2.1). They save one sync of latency.
+	// Early is the number of Messages, from the front, that may be sent before or
+	// during the sync: the appends and heartbeats of a leader, which counts its own
+	// entries as stored only after Advance (thesis, section 10.2.1). This saves the
+	// latency of one sync.
 	Early     int
 	Committed []*consensuspb.Entry
 	Reads     []ReadState
 	Fetch     *Fetch
 }
 
-// hardState is what was last handed over to be synced.
+// hardState is the hard state most recently returned in a Ready.
 type hardState struct {
 	term   uint64
 	vote   string
 	commit uint64
 }
 
-// handedOver is the Ready that waits for Advance.
-type handedOver struct {
-	last uint64
+// pendingReady describes the Ready for which Advance has not been called yet.
+type pendingReady struct {
+	last uint64 // newest log index when it was returned
 }
 
-// Ready gives what to do next; false when there is nothing, or when the last
-// one has not been ended by Advance.
+// Ready returns the next work for the driver. It returns false if there is none, or if
+// Advance has not been called for the previous one.
 func (n *Node) Ready() (Ready, bool) {
-	if n.outstanding != nil || n.failed != nil {
+	if n.outstanding != nil || n.fatalErr != nil {
 		return Ready{}, false
 	}
 	n.flush()
 	r := Ready{
-		Entries:   n.log.between(n.log.handed, n.log.last()),
-		Committed: n.log.between(n.log.applied, min(n.log.commit, n.log.applied+maxCommitted)),
+		Entries:   n.log.entriesBetween(n.log.emitted, n.log.last()),
+		Committed: n.log.entriesBetween(n.log.applied, min(n.log.commit, n.log.applied+maxCommitted)),
 		Reads:     n.reads.confirmed,
 		Fetch:     n.fetch,
 	}
@@ -60,10 +62,10 @@
 	if r.empty() {
 		return Ready{}, false
 	}
-	n.log.handed = n.log.last()
+	n.log.emitted = n.log.last()
 	n.log.applied += uint64(len(r.Committed))
 	n.outbox, n.fetch, n.reads.confirmed = nil, nil, nil
-	n.outstanding = &handedOver{last: n.log.last()}
+	n.outstanding = &pendingReady{last: n.log.last()}
 	return r, true
 }
 
@@ -72,8 +74,8 @@
 		len(r.Committed) == 0 && len(r.Reads) == 0 && r.Fetch == nil
 }
 
-// orderMessages moves the messages that need no sync to the front. While term
-// or vote are unsynced every message waits.
+// orderMessages moves the messages that need no sync to the front and returns their
+// number. While a change of term or vote is unsynced, all messages wait for the sync.
 func orderMessages(outbox []*consensuspb.Message, hardChanged bool) ([]*consensuspb.Message, int) {
 	if hardChanged {
 		return outbox, 0
@@ -89,16 +91,16 @@
 	return append(early, late...), len(early)
 }
 
-// Advance tells that the newest Ready has been carried out. Only now does a
-// leader count its own entries.
+// Advance reports that the last Ready has been completed. Only then does a leader count
+// its own entries as stored.
 func (n *Node) Advance() {
 	if n.outstanding == nil {
 		return
 	}
-	synced := min(n.outstanding.last, n.log.handed)
+	synced := min(n.outstanding.last, n.log.emitted)
 	n.outstanding = nil
 	n.log.durable = max(n.log.durable, synced)
 	if n.role == Leader {
-		n.commitCounted()
+		n.advanceCommit()
 	}
 }
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -5,8 +5,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// appendOwn adds entries of the leader's term behind its log.
-func (n *Node) appendOwn(kind consensuspb.EntryKind, data ...[]byte) uint64 {
+// appendLocal appends entries of the current term to the leader's log and returns the
+// index of the first.
+func (n *Node) appendLocal(kind consensuspb.EntryKind, data ...[]byte) uint64 {
 	first := n.log.last() + 1
 	for i, d := range data {
 		n.log.extend(&consensuspb.Entry{Index: first + uint64(i), Term: n.term, Kind: kind, Data: d})
@@ -14,8 +15,8 @@
 	return first
 }
 
-// flush queues what the members should be told now. It runs once per Ready, so
-// that proposals and reads made since the last one share their messages.
+// flush queues the messages that the members need now. It runs once per Ready, so that
+// proposals and reads made since the previous Ready share messages.
 func (n *Node) flush() {
 	if n.role != Leader {
 		return
@@ -31,13 +32,14 @@
 	n.finishTransfer()
 }
 
-// replicate sends the member what flow control lets through. A member that has
-// all is told a new commit index at once rather than with the next heartbeat.
+// replicate sends entries to the member as far as flow control permits. A member that
+// has all entries is sent a new commit index immediately rather than with the next
+// heartbeat.
 func (n *Node) replicate(p *progress) {
-	for p.next <= n.log.last() && !p.full(n.config.MaxInflight) {
+	for p.next <= n.log.last() && !p.throttled(n.config.MaxInflight) {
 		n.sendAppend(p)
 	}
-	if p.state == Replicating && p.told < min(p.match, n.log.commit) {
+	if p.state == Replicating && p.sentCommit < min(p.match, n.log.commit) {
 		n.sendHeartbeat(p, 0)
 	}
 }
@@ -49,9 +51,9 @@
 		n.sendSnapshot(p)
 		return
 	}
-	entries := n.log.from(p.next, n.config.MaxAppendBytes)
-	p.record(entries, n.reads.round)
-	p.told = max(p.told, min(n.log.commit, previous+uint64(len(entries))))
+	entries := n.log.entriesFrom(p.next, n.config.MaxAppendBytes)
+	p.recordAppend(entries, n.reads.round)
+	p.sentCommit = max(p.sentCommit, min(n.log.commit, previous+uint64(len(entries))))
 	n.send(&consensuspb.Message{
 		Kind: consensuspb.MessageKind_MESSAGE_KIND_APPEND, To: p.identity,
 		LogIndex: previous, LogTerm: term, Entries: entries,
@@ -59,30 +61,31 @@
 	})
 }
 
-// sendHeartbeat asserts leadership and tells the commit index as far as the
-// member surely holds the same log. Round 0 wants no answer.
+// sendHeartbeat sends a heartbeat with the commit index, limited to the entries known
+// to match on the member. Round 0 requests no reply.
 func (n *Node) sendHeartbeat(p *progress, round uint64) {
 	commit := min(p.match, n.log.commit)
-	p.told = max(p.told, commit)
+	p.sentCommit = max(p.sentCommit, commit)
 	n.send(&consensuspb.Message{
 		Kind: consensuspb.MessageKind_MESSAGE_KIND_HEARTBEAT, To: p.identity,
 		Commit: commit, ReadRound: round,
 	})
 }
 
-// follow recognises the sender as the leader of this term.
-func (n *Node) follow(m *consensuspb.Message) error {
+// followLeader accepts the sender as the leader of the current term. It fails if this
+// replica leads the term itself.
+func (n *Node) followLeader(m *consensuspb.Message) error {
 	if n.role == Leader {
 		return failure.New(failure.Corrupt, "%s and %s both lead term %d", m.From, n.config.Identity, n.term)
 	}
 	n.becomeFollower(n.term, m.From)
-	n.patience.hearLeader(m.From, n.term, n.now)
+	n.electionTimeout.observeLeader(m.From, n.term, n.now)
 	n.elapsed = 0
 	return nil
 }
 
 func (n *Node) handleAppend(m *consensuspb.Message) error {
-	if err := n.follow(m); err != nil {
+	if err := n.followLeader(m); err != nil {
 		return err
 	}
 	reply := &consensuspb.Message{
@@ -91,14 +94,14 @@
 	}
 	switch {
 	case m.LogIndex < n.log.commit:
-		// Old news: what is committed cannot differ.
+		// A stale append: committed entries cannot differ.
 		reply.LogIndex = n.log.commit
 	case !n.log.matches(m.LogIndex, m.LogTerm):
 		reply.Reject = true
-		reply.HintIndex = n.log.closest(m.LogIndex, m.LogTerm)
+		reply.HintIndex = n.log.findConflictByTerm(m.LogIndex, m.LogTerm)
 		reply.HintTerm, _ = n.log.termAt(reply.HintIndex)
 	default:
-		if err := n.takeEntries(m.Entries); err != nil {
+		if err := n.mergeEntries(m.Entries); err != nil {
 			return err
 		}
 		reply.LogIndex = m.LogIndex + uint64(len(m.Entries))
@@ -108,17 +111,17 @@
 	return nil
 }
 
-func (n *Node) takeEntries(entries []*consensuspb.Entry) error {
+func (n *Node) mergeEntries(entries []*consensuspb.Entry) error {
 	added, err := n.log.merge(entries)
 	if err != nil || len(added) == 0 {
 		return err
 	}
 	n.configurations.truncate(added[0].Index)
-	return n.configurations.take(added)
+	return n.configurations.addFrom(added)
 }
 
 func (n *Node) handleHeartbeat(m *consensuspb.Message) {
-	if n.follow(m) != nil {
+	if n.followLeader(m) != nil {
 		return
 	}
 	n.commitTo(min(m.Commit, n.log.last()))
@@ -127,20 +130,21 @@
 	}
 }
 
-// hear notes that a member answered; nil when it is none.
-func (n *Node) hear(m *consensuspb.Message) *progress {
+// recordReply records a reply from a member. It returns nil if this replica does not
+// lead or the sender is not a member.
+func (n *Node) recordReply(m *consensuspb.Message) *progress {
 	p := n.progressOf(m.From)
 	if n.role != Leader || p == nil {
 		return nil
 	}
-	p.answered, p.heard = true, n.now
+	p.hasReplied, p.lastReply = true, n.now
 	p.round = max(p.round, m.ReadRound)
 	n.confirmRounds()
 	return p
 }
 
 func (n *Node) handleAppendReply(m *consensuspb.Message) {
-	p := n.hear(m)
+	p := n.recordReply(m)
 	if p == nil {
 		return
 	}
@@ -148,62 +152,63 @@
 		n.handleReject(p, m)
 		return
 	}
-	news := p.advance(m.LogIndex)
+	advanced := p.advance(m.LogIndex)
 	if p.state == Probing && m.LogIndex+1 >= p.next || p.state == Installing && p.match >= n.log.base {
 		p.probe(p.match + 1)
 		p.state = Replicating
 	}
-	if news {
-		n.commitCounted()
+	if advanced {
+		n.advanceCommit()
 	}
 }
 
-// handleReject goes back to where the logs can agree: the member's hint, or
-// the leader's own newest entry of a term no newer than the hint's. A whole
-// term that differs costs one round trip. It goes back one entry at least, so
-// that a difference at the compacted base leads to a snapshot.
+// handleReject moves the next index back to where the logs may match: the member's
+// hint, or the leader's newest entry whose term is at most the hint's. Skipping a whole
+// conflicting term costs one round trip. The index moves back by at least one entry, so
+// that a conflict at the compacted base leads to a snapshot.
 func (n *Node) handleReject(p *progress, m *consensuspb.Message) {
 	stale := m.LogIndex <= p.match || p.state == Probing && m.LogIndex != p.next-1
 	if stale || p.state == Installing {
 		return
 	}
-	p.probe(min(n.log.closest(m.HintIndex, m.HintTerm)+1, m.LogIndex))
+	p.probe(min(n.log.findConflictByTerm(m.HintIndex, m.HintTerm)+1, m.LogIndex))
 }
 
 func (n *Node) handleHeartbeatReply(m *consensuspb.Message) {
-	p := n.hear(m)
+	p := n.recordReply(m)
 	if p == nil {
 		return
 	}
-	p.waiting = false
+	p.probeSent = false
 	switch {
-	case p.lost():
+	case p.appendLost():
 		p.probe(p.match + 1)
 	case p.state == Installing && n.now-p.snapshotTick >= uint64(n.config.ElectionTicks):
 		n.sendSnapshot(p)
 	}
 }
 
-// commitCounted commits what a quorum holds. Only an entry of the leader's own
-// term is committed by counting: one of an older term that a quorum holds can
-// still be replaced by a later leader (Raft, figure 8).
-func (n *Node) commitCounted() {
+// advanceCommit commits the entries that a quorum has stored. Only entries of the
+// leader's own term are committed by counting replicas: an entry of an older term can
+// be stored on a quorum and still be overwritten by a later leader (Raft paper, figure
+// 8).
+func (n *Node) advanceCommit() {
 	index := n.quorumValue(n.log.durable, func(p *progress) uint64 { return p.match })
 	if index <= n.log.commit {
 		return
 	}
-	if term, _ := n.log.termAt(index); term != n.term && !n.disabled.ownTermCommit {
+	if term, _ := n.log.termAt(index); term != n.term && !n.disabled.currentTermCommit {
 		return
 	}
 	n.commitTo(index)
-	n.settleReads()
-	n.settleConfiguration()
+	n.releaseReads()
+	n.stepDownIfRemoved()
 }
 
 func (n *Node) commitTo(index uint64) { n.log.commit = max(n.log.commit, index) }
 
-// committedInTerm tells whether the leader's commit index covers all that
-// earlier leaders committed.
+// committedInTerm reports whether the leader has committed an entry of its own term, so
+// that its commit index covers everything that earlier leaders committed.
 func (n *Node) committedInTerm() bool {
 	term, _ := n.log.termAt(n.log.commit)
 	return n.role == Leader && term == n.term
--- a/internal/coordination/consensus/scenario_test.go
+++ b/internal/coordination/consensus/scenario_test.go
@@ -9,60 +9,63 @@
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 )
 
-// elections is a time in shortest election timeouts.
-func (w *world) elections(count int) {
-	for range count * w.config.ElectionTicks {
-		w.round()
+// runElectionTimeouts runs the simulation for a number of minimum election timeouts.
+func (sim *simulation) runElectionTimeouts(count int) {
+	for range count * sim.config.ElectionTicks {
+		sim.round()
 	}
 }
 
-// until runs until done holds after some message; the rest on the network is lost.
-func (w *world) until(done func() bool) {
-	w.stop = done
-	for range 20 * w.config.ElectionTicks {
-		if w.round(); done() {
+// runUntil runs until done returns true after some message, and drops the remaining
+// messages in transit.
+func (sim *simulation) runUntil(done func() bool) {
+	sim.stopWhen = done
+	for range 20 * sim.config.ElectionTicks {
+		if sim.round(); done() {
 			break
 		}
 	}
 	if !done() {
-		w.fail("the scenario did not come about")
+		sim.fail("scenario precondition not reached")
 	}
-	w.stop, w.network = nil, nil
+	sim.stopWhen, sim.network = nil, nil
 }
 
-// partition lets only replicas of the same group hear each other.
-func (w *world) partition(groups ...[]*replica) {
-	clear(w.cut)
-	for _, r := range w.replicas {
-		w.isolate(r)
+// partition permits only messages between replicas of the same group.
+func (sim *simulation) partition(groups ...[]*replica) {
+	clear(sim.cutLinks)
+	for _, r := range sim.replicas {
+		sim.isolate(r)
 	}
 	for _, group := range groups {
 		for _, a := range group {
 			for _, b := range group {
-				delete(w.cut, [2]string{a.identity, b.identity})
+				delete(sim.cutLinks, [2]string{a.identity, b.identity})
 			}
 		}
 	}
 }
 
-// led elects a leader that has committed, and gives it and the others.
-func (w *world) led() (*replica, []*replica) {
-	w.until(func() bool { return w.leader() != nil && w.leader().node.committedInTerm() })
-	w.elections(1)
-	return w.leader(), w.without(w.leader())
+// electLeader elects a leader, waits until it has committed an entry of its term, and
+// returns it and the other replicas.
+func (sim *simulation) electLeader() (*replica, []*replica) {
+	sim.runUntil(func() bool { return sim.leader() != nil && sim.leader().node.committedInTerm() })
+	sim.runElectionTimeouts(1)
+	return sim.leader(), sim.without(sim.leader())
 }
 
-// replaced tells whether another replica leads.
-func (w *world) replaced(leader *replica) func() bool {
-	return func() bool { return w.leader() != nil && w.leader() != leader }
+// otherLeads returns a condition that holds once another replica leads.
+func (sim *simulation) otherLeads(leader *replica) func() bool {
+	return func() bool { return sim.leader() != nil && sim.leader() != leader }
 }
 
-func (w *world) without(gone ...*replica) []*replica {
-	return slices.DeleteFunc(slices.Clone(w.replicas), func(r *replica) bool { return slices.Contains(gone, r) })
+func (sim *simulation) without(gone ...*replica) []*replica {
+	return slices.DeleteFunc(slices.Clone(sim.replicas), func(r *replica) bool { return slices.Contains(gone, r) })
 }
 
-// member proposes a change of one member: removes it, or adds or promotes it as voter says.
-func (w *world) member(leader *replica, identity string, remove, voter bool) error {
+// changeMember proposes a change of one member: it removes the member, or adds or
+// promotes it according to voter.
+func (sim *simulation) changeMember(leader *replica, identity string, remove, voter bool) error {
 	members := slices.Clone(leader.node.configurations.newest().GetMembers())
 	members = slices.DeleteFunc(members, func(m *consensuspb.Member) bool { return m.Identity == identity })
 	if !remove {
@@ -72,262 +75,264 @@
 	return err
 }
 
-// undisturbed fails when leader does not lead the same term any more.
-func (w *world) undisturbed(leader *replica, term uint64) {
+// checkStillLeads fails unless leader still leads the same term.
+func (sim *simulation) checkStillLeads(leader *replica, term uint64) {
 	if leader.node.role != Leader || leader.node.term != term {
-		w.fail("%s led term %d and was disturbed", leader.identity, term)
+		sim.fail("%s no longer leads term %d", leader.identity, term)
 	}
 }
 
-// A replica is cut off for long and then comes back: the others' term and
-// their leader stay. Without pre-vote it returns with a term raised at every
-// timeout, and the leader steps down before it.
-func longCut(w *world) {
-	leader, others := w.led()
+// A replica is partitioned for many election timeouts and then reconnects: term and
+// leader of the others must not change. Without pre-vote it returns with a term that it
+// has incremented at every timeout, and the leader steps down.
+func longPartition(sim *simulation) {
+	leader, others := sim.electLeader()
 	term := leader.node.term
-	w.isolate(others[0])
-	w.elections(20)
-	w.propose(leader)
-	clear(w.cut)
-	w.elections(5)
-	w.undisturbed(leader, term)
+	sim.isolate(others[0])
+	sim.runElectionTimeouts(20)
+	sim.propose(leader)
+	clear(sim.cutLinks)
+	sim.runElectionTimeouts(5)
+	sim.checkStillLeads(leader, term)
 }
 
-// A follower no longer hears the leader but reaches everybody, and its log is
-// as good as theirs. The voters that hear the leader must not elect it.
-func lostLink(w *world) {
-	leader, others := w.led()
+// A follower has lost its link from the leader but reaches all other voters, and its
+// log is as up to date as theirs. The voters that have a live leader must not elect it.
+func lostLink(sim *simulation) {
+	leader, others := sim.electLeader()
 	term := leader.node.term
-	w.cut[[2]string{leader.identity, others[0].identity}] = true
-	w.elections(5)
-	w.undisturbed(leader, term)
+	sim.cutLinks[[2]string{leader.identity, others[0].identity}] = true
+	sim.runElectionTimeouts(5)
+	sim.checkStillLeads(leader, term)
 }
 
-// A replica is removed while it is cut off, and comes back believing that it
-// is a member: the leader that is left stays.
-func removedReplica(w *world) {
-	leader, others := w.led()
-	w.isolate(others[0])
-	_ = w.member(leader, others[0].identity, true, false)
-	w.elections(3)
+// A replica is removed while it is partitioned, and reconnects believing that it is
+// still a member: the leader of the others must not change.
+func removedReplica(sim *simulation) {
+	leader, others := sim.electLeader()
+	sim.isolate(others[0])
+	_ = sim.changeMember(leader, others[0].identity, true, false)
+	sim.runElectionTimeouts(3)
 	term := leader.node.term
-	clear(w.cut)
-	w.elections(5)
-	w.undisturbed(leader, term)
+	clear(sim.cutLinks)
+	sim.runElectionTimeouts(5)
+	sim.checkStillLeads(leader, term)
 }
 
-// The leader's heartbeats get out but no answer gets in. It must step down, or
-// the others follow a leader that can commit nothing.
-func deafLeader(w *world) {
-	leader, others := w.led()
+// The leader's heartbeats are delivered but no reply reaches it. It must step down;
+// otherwise the others follow a leader that cannot commit anything.
+func leaderWithoutReplies(sim *simulation) {
+	leader, others := sim.electLeader()
 	for _, r := range others {
-		w.cut[[2]string{r.identity, leader.identity}] = true
+		sim.cutLinks[[2]string{r.identity, leader.identity}] = true
 	}
-	w.elections(6)
-	if next := w.leader(); next == leader || !w.propose(next) {
-		w.fail("a leader that hears nobody still leads")
+	sim.runElectionTimeouts(6)
+	if next := sim.leader(); next == leader || !sim.propose(next) {
+		sim.fail("a leader that receives no replies still leads")
 	}
 }
 
-// Raft's figure 8: a leader spreads an entry of an older term to a quorum and
-// is lost before one of its own gets out. The rival with a newer last term may
-// still replace that entry, so nobody may have been told that it is committed.
-func olderTerm(w *world) {
-	first, others := w.led()
-	friend, rest := others[0], others[1:]
-	w.partition([]*replica{first, friend}, rest)
-	w.propose(first)
+// Figure 8 of the Raft paper: a leader replicates an entry of an older term to a quorum
+// and is lost before any entry of its own term is replicated. A rival whose last entry
+// has a newer term may still overwrite the older entry, so it must not have been
+// reported as committed.
+func olderTermEntry(sim *simulation) {
+	first, others := sim.electLeader()
+	ally, rest := others[0], others[1:]
+	sim.partition([]*replica{first, ally}, rest)
+	sim.propose(first)
 	index := first.node.log.last()
-	w.drain()
-	w.until(func() bool { return slices.Contains(rest, w.leader()) })
-	rival := w.leader()
-	w.partition()
-	w.drain()
-	w.partition(w.without(rival))
-	w.until(func() bool { return w.leader() == first || w.leader() == friend })
-	next := w.leader()
-	w.until(func() bool {
+	sim.drain()
+	sim.runUntil(func() bool { return slices.Contains(rest, sim.leader()) })
+	rival := sim.leader()
+	sim.partition()
+	sim.drain()
+	sim.partition(sim.without(rival))
+	sim.runUntil(func() bool { return sim.leader() == first || sim.leader() == ally })
+	next := sim.leader()
+	sim.runUntil(func() bool {
 		return next.node.quorumValue(next.node.log.last(), func(p *progress) uint64 { return p.match }) == index
 	})
-	w.partition()
-	w.drain()
-	w.partition(rest)
-	w.until(func() bool { return w.leader() == rival && rival.node.committedInTerm() })
+	sim.partition()
+	sim.drain()
+	sim.partition(rest)
+	sim.runUntil(func() bool { return sim.leader() == rival && rival.node.committedInTerm() })
 }
 
-// The answers to a leader's heartbeats are long on their way, and meanwhile the
-// others elect another leader, which commits. A read that begins then must not
-// be confirmed by those answers: it would miss the commit.
-func lateAnswers(w *world) {
-	old, others := w.led()
-	w.overtake(old, others, old.node.startRound, func() { w.read(old) })
+// The replies to a leader's heartbeats are delayed while the others elect a new leader,
+// which commits. A read that begins after that must not be confirmed by the delayed
+// replies: it would miss the commit.
+func delayedReplies(sim *simulation) {
+	old, others := sim.electLeader()
+	sim.delayReplies(old, others, old.node.startRound, func() { sim.read(old) })
 }
 
-// overtake holds back the answers to what a replica sends, lets the others
-// elect and commit without it, and delivers the answers then.
-func (w *world) overtake(slow *replica, others []*replica, ask, before func()) {
-	ask()
-	w.pump(slow, true)
-	for range len(w.network) {
-		w.take(0)
+// delayReplies holds back the replies to what request makes a replica send, lets the
+// others elect a leader and commit without it, calls beforeDelivery, and then delivers
+// the replies.
+func (sim *simulation) delayReplies(sender *replica, others []*replica, request, beforeDelivery func()) {
+	request()
+	sim.processReady(sender, true)
+	for range len(sim.network) {
+		sim.deliverAt(0)
 	}
 	for _, r := range others {
-		w.pump(r, true)
+		sim.processReady(r, true)
 	}
-	answers := w.network
-	w.network = nil
-	w.isolate(slow)
-	others[0].node.elect(true)
+	replies := sim.network
+	sim.network = nil
+	sim.isolate(sender)
+	others[0].node.startElection(true)
 	for range 3 {
-		w.round()
+		sim.round()
 	}
-	clear(w.cut)
-	before()
-	for _, m := range answers {
-		w.hand(m)
+	clear(sim.cutLinks)
+	beforeDelivery()
+	for _, m := range replies {
+		sim.deliver(m)
 	}
 }
 
-// Two leaders change the same configuration, the second before it has
-// committed in its term: a quorum of its three voters and a quorum of the
-// first one's five have no replica in common.
-func rivalChanges(w *world) {
-	w.add()
-	w.start(w.replicas[4])
-	first, _ := w.led()
-	learner := w.replicas[4]
-	_ = w.member(first, learner.identity, false, false)
-	w.elections(1)
-	rest := w.without(first, learner)
-	w.partition([]*replica{first, learner}, rest)
-	_ = w.member(first, learner.identity, false, true)
-	w.drain()
-	w.until(func() bool { return slices.Contains(rest, w.leader()) })
-	second := w.leader()
+// Two leaders change the same configuration, the second one before it has committed an
+// entry of its term: a quorum of the second one's three voters and a quorum of the
+// first one's five do not overlap.
+func concurrentChanges(sim *simulation) {
+	sim.add()
+	sim.start(sim.replicas[4])
+	first, _ := sim.electLeader()
+	learner := sim.replicas[4]
+	_ = sim.changeMember(first, learner.identity, false, false)
+	sim.runElectionTimeouts(1)
+	rest := sim.without(first, learner)
+	sim.partition([]*replica{first, learner}, rest)
+	_ = sim.changeMember(first, learner.identity, false, true)
+	sim.drain()
+	sim.runUntil(func() bool { return slices.Contains(rest, sim.leader()) })
+	second := sim.leader()
 	rest = slices.DeleteFunc(rest, func(r *replica) bool { return r == second })
-	w.partition([]*replica{second, rest[0]})
-	w.round()
-	w.round()
-	_ = w.member(second, first.identity, true, false)
-	w.elections(3)
-	w.partition([]*replica{first, learner, rest[1]})
-	w.elections(6)
+	sim.partition([]*replica{second, rest[0]})
+	sim.round()
+	sim.round()
+	_ = sim.changeMember(second, first.identity, true, false)
+	sim.runElectionTimeouts(3)
+	sim.partition([]*replica{first, learner, rest[1]})
+	sim.runElectionTimeouts(6)
 }
 
-// A candidate's votes are long on their way, and meanwhile the others elect
-// another leader, which commits. The candidate then leads its older term, and
-// must not take its quorum for as recent as the votes' arrival.
-func lateVotes(w *world) {
-	leader, others := w.led()
+// The votes for a candidate are delayed while the others elect another leader, which
+// commits. The candidate then becomes leader of its older term and must not date the
+// acknowledgement by its quorum to the arrival of the votes.
+func delayedVotes(sim *simulation) {
+	leader, others := sim.electLeader()
 	candidate := others[0]
-	w.overtake(candidate, []*replica{others[1], leader}, func() { candidate.node.elect(true) }, func() {})
-	w.checkReplica(candidate)
+	sim.delayReplies(candidate, []*replica{others[1], leader}, func() { candidate.node.startElection(true) }, func() {})
+	sim.checkReplica(candidate)
 }
 
-// A leader that was cut off has added a member, and that entry is replaced: the
-// configuration goes back with it.
-func replacedChange(w *world) {
-	old, _ := w.led()
-	w.isolate(old)
-	_ = w.member(old, "new.1", false, false)
-	w.until(w.replaced(old))
-	clear(w.cut)
-	w.elections(2)
+// A partitioned leader has added a member, and that entry is overwritten: the
+// configuration must be reverted.
+func overwrittenChange(sim *simulation) {
+	old, _ := sim.electLeader()
+	sim.isolate(old)
+	_ = sim.changeMember(old, "new.1", false, false)
+	sim.runUntil(sim.otherLeads(old))
+	clear(sim.cutLinks)
+	sim.runElectionTimeouts(2)
 	if len(old.node.Status().Configuration.Members) != 3 {
-		w.fail("a replaced configuration is still in force")
+		sim.fail("an overwritten configuration is still in force")
 	}
 }
 
-// A member is removed and added again before it has heard of the removal: it
-// gets the log as any other (found at seed 1000992).
-func addedAgain(w *world) {
-	leader, others := w.led()
-	w.isolate(others[0])
-	_ = w.member(leader, others[0].identity, true, false)
-	w.drain()
-	_ = w.member(leader, others[0].identity, false, false)
+// A member is removed and added again before it learns of the removal: it must receive
+// the log like any other member. Found by the schedule of seed 1000992.
+func readdedMember(sim *simulation) {
+	leader, others := sim.electLeader()
+	sim.isolate(others[0])
+	_ = sim.changeMember(leader, others[0].identity, true, false)
+	sim.drain()
+	_ = sim.changeMember(leader, others[0].identity, false, false)
 }
 
-// A replica without the newest committed entry asks for votes, as on transfer:
-// it doesn't get them.
-func shortLog(w *world) {
-	leader, others := w.led()
-	w.isolate(others[0])
-	w.propose(leader)
-	w.drain()
-	clear(w.cut)
-	others[0].node.elect(true)
-	w.drain()
-	if w.leader() == others[0] {
-		w.fail("a leader without the log")
+// A replica that lacks the newest committed entry requests votes as for a leadership
+// transfer: it must not get them.
+func incompleteLog(sim *simulation) {
+	leader, others := sim.electLeader()
+	sim.isolate(others[0])
+	sim.propose(leader)
+	sim.drain()
+	clear(sim.cutLinks)
+	others[0].node.startElection(true)
+	sim.drain()
+	if sim.leader() == others[0] {
+		sim.fail("a replica with an incomplete log was elected")
 	}
 }
 
-// oneEntry sends every entry in its own append.
-var oneEntry = Config{ElectionTicks: 10, HeartbeatTicks: 2, MaxAppendBytes: 1, MaxInflight: 4}
+// oneEntryAppends sends every entry in a separate append.
+var oneEntryAppends = Config{ElectionTicks: 10, HeartbeatTicks: 2, MaxAppendBytes: 1, MaxInflight: 4}
 
-// Two candidates of one term, and the voter between them restarts after it has
-// voted for the first: it must still know of that vote.
-func restartedVoter(w *world) {
-	first, second, voter := w.replicas[0], w.replicas[1], w.replicas[2]
-	w.partition([]*replica{first, voter}, []*replica{second, voter})
-	first.node.elect(false)
-	w.stop = func() bool { return first.node.role == Leader }
-	w.drain()
-	w.stop, w.network = nil, nil
-	w.partition([]*replica{second, voter})
-	w.start(voter)
-	second.node.elect(false)
-	w.drain()
+// Two candidates compete in the same term, and the voter between them restarts after it
+// has voted for the first: it must not vote for the second.
+func restartedVoter(sim *simulation) {
+	first, second, voter := sim.replicas[0], sim.replicas[1], sim.replicas[2]
+	sim.partition([]*replica{first, voter}, []*replica{second, voter})
+	first.node.startElection(false)
+	sim.stopWhen = func() bool { return first.node.role == Leader }
+	sim.drain()
+	sim.stopWhen, sim.network = nil, nil
+	sim.partition([]*replica{second, voter})
+	sim.start(voter)
+	second.node.startElection(false)
+	sim.drain()
 }
 
-// Each scenario holds, and those with a safeguard in their name break once it
-// is taken away.
+// Every scenario must pass with all safeguards, and those with a safeguard in their
+// name must fail once it is disabled.
 func TestScenarios(t *testing.T) {
 	cases := []struct {
 		name    string
 		size    int
-		run     func(*world)
-		without planted // breaks it; none where the scenario only has to hold
+		run     func(*simulation)
+		without injectedFaults // fault that makes the scenario fail; none where it only has to pass
 	}{
-		{"long cut, pre-vote", 3, longCut, planted{safeguards: safeguards{preVote: true}}},
-		{"lost link, stickiness", 3, lostLink, planted{safeguards: safeguards{stickiness: true}}},
-		{"removed replica, pre-vote and stickiness", 3, removedReplica, planted{safeguards: safeguards{preVote: true, stickiness: true}}},
-		{"deaf leader, quorum contact", 3, deafLeader, planted{safeguards: safeguards{quorumContact: true}}},
-		{"older term, commit by counting", 5, olderTerm, planted{safeguards: safeguards{ownTermCommit: true}}},
-		{"restarted voter, vote on disk", 3, restartedVoter, planted{forgetVote: true}},
-		{"late answers, read rounds", 3, lateAnswers, planted{safeguards: safeguards{readRounds: true}}},
-		{"rival changes, own commit first", 4, rivalChanges, planted{safeguards: safeguards{ownTermChange: true}}},
-		{"late votes", 3, lateVotes, planted{}},
-		{"replaced change", 3, replacedChange, planted{}},
-		{"added again", 3, addedAgain, planted{}},
-		{"short log", 3, shortLog, planted{}},
+		{"long partition, pre-vote", 3, longPartition, injectedFaults{safeguards: safeguards{preVote: true}}},
+		{"lost link, stickiness", 3, lostLink, injectedFaults{safeguards: safeguards{stickiness: true}}},
+		{"removed replica, pre-vote and stickiness", 3, removedReplica, injectedFaults{safeguards: safeguards{preVote: true, stickiness: true}}},
+		{"leader without replies, check quorum", 3, leaderWithoutReplies, injectedFaults{safeguards: safeguards{checkQuorum: true}}},
+		{"entry of an older term, commit by counting", 5, olderTermEntry, injectedFaults{safeguards: safeguards{currentTermCommit: true}}},
+		{"restarted voter, vote on disk", 3, restartedVoter, injectedFaults{loseVote: true}},
+		{"delayed replies, read rounds", 3, delayedReplies, injectedFaults{safeguards: safeguards{readRounds: true}}},
+		{"concurrent changes, commit in own term first", 4, concurrentChanges, injectedFaults{safeguards: safeguards{currentTermChange: true}}},
+		{"delayed votes", 3, delayedVotes, injectedFaults{}},
+		{"overwritten change", 3, overwrittenChange, injectedFaults{}},
+		{"re-added member", 3, readdedMember, injectedFaults{}},
+		{"incomplete log", 3, incompleteLog, injectedFaults{}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			for seed := range uint64(20) {
-				w := newWorld(seed, c.size, oneEntry, planted{})
-				c.run(w)
-				w.settle()
-				is.Equal(w.violation, "") // with the safeguard
+				sim := newSimulation(seed, c.size, oneEntryAppends, injectedFaults{})
+				c.run(sim)
+				sim.checkRecovery()
+				is.Equal(sim.violation, "") // with the safeguard
 			}
-			if c.without == (planted{}) {
+			if c.without == (injectedFaults{}) {
 				return
 			}
-			w := newWorld(1, c.size, oneEntry, c.without)
-			c.run(w)
-			w.settle()
-			t.Log(w.violation)
-			is.True(w.violation != "" && w.violation != "the scenario did not come about") // without it
+			sim := newSimulation(1, c.size, oneEntryAppends, c.without)
+			c.run(sim)
+			sim.checkRecovery()
+			t.Log(sim.violation)
+			is.True(sim.violation != "" && sim.violation != "scenario precondition not reached") // without it
 		})
 	}
 }
 
-// Even where a removed replica has raised its term, the voters that hear their
-// leader do not listen to its vote requests.
+// Without pre-vote, a removed replica increments its term; voters that have a live
+// leader must still ignore its vote requests.
 func TestStickinessAlone(t *testing.T) {
-	w := newWorld(1, 3, calm, planted{safeguards: safeguards{preVote: true}})
-	removedReplica(w)
-	is.New(t).Equal(w.violation, "")
+	sim := newSimulation(1, 3, typicalConfig, injectedFaults{safeguards: safeguards{preVote: true}})
+	removedReplica(sim)
+	is.New(t).Equal(sim.violation, "")
 }
--- a/internal/coordination/consensus/snapshot.go
+++ b/internal/coordination/consensus/snapshot.go
@@ -2,17 +2,17 @@
 
 import "pinewinch.example/pinewinch/internal/protocol/consensuspb"
 
-// Fetch asks the driver to fetch a snapshot that is as new as Meta or newer
-// from a replica, to make it durable in place of the log, and to call
-// Installed with the meta of what it got. The same Fetch comes again while the
-// leader still waits for it; a driver that is at it already ignores it.
+// Fetch asks the driver to fetch a snapshot that is at least as new as Meta from the
+// replica From, to make it durable in place of the log, and to call Installed with the
+// metadata of the snapshot received. The same Fetch is repeated while the leader is
+// waiting for it; a driver that is already fetching ignores it.
 type Fetch struct {
 	From string
 	Meta *consensuspb.SnapshotMeta
 }
 
-// SnapshotMeta describes a snapshot of the state machine at an applied index;
-// false where the log no longer tells.
+// SnapshotMeta returns the metadata for a snapshot of the state machine at an applied
+// index; false if the index is not applied or no longer in the log.
 func (n *Node) SnapshotMeta(index uint64) (*consensuspb.SnapshotMeta, bool) {
 	term, ok := n.log.termAt(index)
 	configuration := n.configurations.at(index)
@@ -22,14 +22,15 @@
 	return &consensuspb.SnapshotMeta{Index: index, Term: term, Configuration: configuration}, true
 }
 
-// Compact drops the log up to index, which a durable snapshot of this replica
-// covers. An index beyond what was applied is cut to it.
+// Compact removes log entries up to index, which a durable snapshot of this replica
+// must cover. The index is limited to the applied index.
 func (n *Node) Compact(index uint64) {
 	n.log.compact(index)
 	n.configurations.compact(n.log.base)
 }
 
-// sendSnapshot tells a member to fetch: the log no longer reaches back to it.
+// sendSnapshot asks a member to fetch a snapshot because the entries that it needs have
+// been compacted.
 func (n *Node) sendSnapshot(p *progress) {
 	meta, ok := n.SnapshotMeta(n.log.base)
 	if !ok {
@@ -44,7 +45,7 @@
 }
 
 func (n *Node) handleSnapshot(m *consensuspb.Message) {
-	if n.follow(m) != nil {
+	if n.followLeader(m) != nil {
 		return
 	}
 	if n.log.matches(m.Snapshot.Index, m.Snapshot.Term) {
@@ -57,9 +58,8 @@
 	n.fetch = &Fetch{From: m.From, Meta: m.Snapshot}
 }
 
-// Installed tells that the driver has made a fetched snapshot durable and that
-// the state machine stands at it. One no newer than the log's commit index is
-// ignored.
+// Installed reports that a fetched snapshot is durable and that the state machine has
+// been restored from it. A snapshot that is not newer than the commit index is ignored.
 func (n *Node) Installed(meta *consensuspb.SnapshotMeta) {
 	if meta.Index <= n.log.commit {
 		return
--- a/internal/coordination/consensus/status.go
+++ b/internal/coordination/consensus/status.go
@@ -2,7 +2,7 @@
 
 import "pinewinch.example/pinewinch/internal/protocol/consensuspb"
 
-// Role of a replica in its term.
+// Role is the role of a replica in its term.
 type Role int
 
 // The roles. A learner is a Follower that never campaigns.
@@ -13,39 +13,41 @@
 	Leader
 )
 
-// String names the role for logs and dumps.
+// String returns the name of the role for logs and dumps.
 func (r Role) String() string {
 	return [...]string{"follower", "pre-candidate", "candidate", "leader"}[r]
 }
 
-// Status is a copy of what a Node knows, for the driver, dumps and operators.
+// Status is a snapshot of a Node's state, for the driver, dumps and operators.
 type Status struct {
 	Identity string
 	Role     Role
 	Term     uint64
-	// Leader is the identity of the leader; empty when none is known.
+	// Leader is the identity of the leader; empty if unknown.
 	Leader string
-	// First is the oldest index still in the log, Last the newest.
+	// First is the oldest index in the log, Last the newest.
 	First, Last uint64
-	// Commit is the newest committed index, Applied the newest handed over in
-	// Ready.Committed or installed.
+	// Commit is the newest committed index. Applied is the newest index returned in
+	// Ready.Committed or covered by an installed snapshot.
 	Commit, Applied uint64
-	// Configuration is the newest in the log, in force from its append on. It
-	// is shared and must not be changed.
+	// Configuration is the newest configuration in the log, which is in force from its
+	// append on. It is shared and must not be modified.
 	Configuration *consensuspb.Configuration
-	// ConfigurationPending tells that it is not committed yet.
+	// ConfigurationPending reports that Configuration is not committed yet.
 	ConfigurationPending bool
-	// ElectionTicks is the shortest election timeout as it is now.
+	// ElectionTicks is the current minimum election timeout, in ticks.
 	ElectionTicks int
-	// Members is what a leader knows of the others; empty elsewhere.
+	// Members is the leader's view of the other members; empty unless this replica is
+	// the leader.
 	Members []MemberStatus
-	// QuorumAge is, on a leader, the ticks since the newest moment at which a
-	// quorum is known to have recognised it.
+	// QuorumAge is set on a leader: the ticks since the most recent time at which a
+	// quorum is known to have acknowledged it.
 	QuorumAge int
-	// LeaderAge is, on a follower, the ticks since it heard its leader.
+	// LeaderAge is set on other replicas: the ticks since the last message from the
+	// leader or, without one, since the last campaign began.
 	LeaderAge int
-	// CommittedInTerm tells that the leader has committed in its own term, so
-	// that its commit index covers all earlier leaders'.
+	// CommittedInTerm reports that the leader has committed an entry of its own term,
+	// so that its commit index covers the commits of all earlier leaders.
 	CommittedInTerm bool
 }
 
@@ -54,16 +56,17 @@
 	Identity string
 	Voter    bool
 	State    ProgressState
-	// Match is the newest index known to be durable there.
+	// Match is the newest index known to be durable on the member.
 	Match uint64
-	// Live tells that it answered within the shortest election timeout.
+	// Live reports that the member replied within the last Config.ElectionTicks.
 	Live bool
-	// CaughtUp tells that a learner may be promoted.
+	// CaughtUp reports that a learner may be promoted.
 	CaughtUp bool
+	// Inflight is the number of unacknowledged appends.
 	Inflight int
 }
 
-// Status copies the Node's present view.
+// Status returns a copy of the Node's current state.
 func (n *Node) Status() Status {
 	s := Status{
 		Identity:             n.config.Identity,
@@ -73,7 +76,7 @@
 		First:                n.log.base + 1,
 		Last:                 n.log.last(),
 		Commit:               n.log.commit,
-		ElectionTicks:        n.patience.ticks(),
+		ElectionTicks:        n.electionTimeout.ticks(),
 		Applied:              n.log.applied,
 		Configuration:        n.configurations.newest(),
 		ConfigurationPending: n.configurations.newestIndex() > n.log.commit,
--- a/internal/coordination/consensus/transfer.go
+++ b/internal/coordination/consensus/transfer.go
@@ -5,34 +5,34 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// transfer of leadership under way: no proposals are taken meanwhile, so that
-// the target can catch up.
+// transfer is a leadership transfer in progress. Proposals are rejected meanwhile, so
+// that the target can catch up.
 type transfer struct {
-	to    string
-	ticks int
-	asked bool
+	target         string
+	ticks          int
+	timeoutNowSent bool
 }
 
-// Transfer hands leadership to a voter once it has the whole log. It is given
-// up after the shortest election timeout; Status tells the outcome.
-func (n *Node) Transfer(to string) error {
-	if err := n.leading(); err != nil {
+// Transfer hands leadership to a voter as soon as its log is complete. The attempt is
+// abandoned after Config.ElectionTicks; Status shows the outcome.
+func (n *Node) Transfer(target string) error {
+	if err := n.checkLeader(); err != nil {
 		return err
 	}
-	if to == n.config.Identity {
+	if target == n.config.Identity {
 		return nil
 	}
-	if !isVoter(n.configurations.newest(), to) {
-		return failure.New(failure.BadRequest, "%s is no voter", to)
+	if !isVoter(n.configurations.newest(), target) {
+		return failure.New(failure.BadRequest, "%s is not a voter", target)
 	}
-	if n.transfer.to != to {
-		n.transfer = transfer{to: to}
+	if n.transfer.target != target {
+		n.transfer = transfer{target: target}
 	}
 	return nil
 }
 
 func (n *Node) tickTransfer() {
-	if n.transfer.to == "" {
+	if n.transfer.target == "" {
 		return
 	}
 	n.transfer.ticks++
@@ -41,19 +41,20 @@
 	}
 }
 
-// finishTransfer tells the target to campaign once it has everything.
+// finishTransfer tells the target to start an election once its log is complete.
 func (n *Node) finishTransfer() {
-	p := n.progressOf(n.transfer.to)
-	if p == nil || n.transfer.asked || p.match < n.log.last() {
+	p := n.progressOf(n.transfer.target)
+	if p == nil || n.transfer.timeoutNowSent || p.match < n.log.last() {
 		return
 	}
-	n.transfer.asked = true
+	n.transfer.timeoutNowSent = true
 	n.send(&consensuspb.Message{Kind: consensuspb.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: p.identity})
 }
 
-// handleTimeoutNow campaigns at once: the leader itself wants to be replaced.
+// handleTimeoutNow starts an election immediately, at the request of the current
+// leader.
 func (n *Node) handleTimeoutNow(m *consensuspb.Message) {
 	if n.leader == m.From && n.role == Follower && n.mayCampaign() {
-		n.elect(true)
+		n.startElection(true)
 	}
 }
