--- a/internal/coordination/steady/steady.go
+++ b/internal/coordination/steady/steady.go
@@ -1,7 +1,7 @@
-// Package steady is the clock that ages are counted by: the process's steady clock,
-// and the time for which the machine was suspended, which the steady clock leaves
-// out. A leader that slept would otherwise wake as fresh as it fell asleep, and
-// would send orders that the leader of now knows nothing of.
+// Package steady provides a monotonic clock that includes the time for which the
+// machine was suspended, which the monotonic clock of package time leaves out. Without
+// it, a leader that resumes after a suspension would consider its state as fresh as
+// before, and would send commands that the current leader does not know of.
 package steady
 
 import (
@@ -11,73 +11,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// Moment is a point in time in one process.
+// Moment is a point in time, comparable only within one process.
 type Moment struct {
-	steady    time.Time
+	monotonic time.Time
 	suspended time.Duration
 }
 
-// suspended is for how long the machine has been suspended so far; tests replace it.
+// suspended returns the total time for which the machine has been suspended. Tests
+// replace it.
 var suspended = readSuspended
 
 const (
-	// leastSuspension is what counts as one: a reading of two clocks errs by less.
-	leastSuspension = 20 * time.Millisecond
-	// apart is how long two readings of one clock around the other's may lie apart: a
-	// process that was stopped between them would take that for a suspension.
-	apart = time.Millisecond
-	// readings bounds the tries; a suspension that is missed is seen by the next.
-	readings = 3
+	// minSuspension is the shortest increase of the suspended time that counts as a
+	// suspension. The error of a reading of the two clocks is smaller.
+	minSuspension = 20 * time.Millisecond
+	// maxReadGap is the longest permitted interval between the two readings of
+	// CLOCK_MONOTONIC that enclose the reading of CLOCK_BOOTTIME. A longer pause of the
+	// process in between would be taken for a suspension.
+	maxReadGap = time.Millisecond
+	// maxReadAttempts limits the attempts of one reading. A suspension that is missed
+	// is detected by the next reading.
+	maxReadAttempts = 3
 )
 
-// known is the newest suspended time; it never falls and stands still between
-// suspensions, so that the error of a reading makes no age larger or smaller.
-var known atomic.Int64
+// suspendedTotal is the newest known suspended time, in nanoseconds. It never decreases
+// and is constant between suspensions, so that reading errors do not change any age.
+var suspendedTotal atomic.Int64
 
-// readSuspended compares the clock that counts suspensions with the one that does
-// not. Where the machine lacks the former, suspensions are not seen.
+// readSuspended returns the difference between CLOCK_BOOTTIME, which counts
+// suspensions, and CLOCK_MONOTONIC, which does not. If either clock is unavailable, it
+// returns 0 and suspensions are not detected.
 func readSuspended() time.Duration {
-	for range readings {
-		var before, withSleep, after unix.Timespec
+	for range maxReadAttempts {
+		var before, bootTime, after unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_MONOTONIC, &before) != nil ||
-			unix.ClockGettime(unix.CLOCK_BOOTTIME, &withSleep) != nil ||
+			unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime) != nil ||
 			unix.ClockGettime(unix.CLOCK_MONOTONIC, &after) != nil {
 			return 0
 		}
-		if after.Nano()-before.Nano() <= apart.Nanoseconds() {
-			return note(withSleep.Nano() - before.Nano())
+		if after.Nano()-before.Nano() <= maxReadGap.Nanoseconds() {
+			return recordSuspended(bootTime.Nano() - before.Nano())
 		}
 	}
-	return time.Duration(known.Load())
+	return time.Duration(suspendedTotal.Load())
 }
 
-func note(suspended int64) time.Duration {
+func recordSuspended(suspended int64) time.Duration {
 	for {
-		newest := known.Load()
-		if suspended-newest < leastSuspension.Nanoseconds() {
+		newest := suspendedTotal.Load()
+		// A smaller difference is a reading error, or an older reading.
+		if suspended-newest < minSuspension.Nanoseconds() {
 			return time.Duration(newest)
 		}
-		if known.CompareAndSwap(newest, suspended) {
+		if suspendedTotal.CompareAndSwap(newest, suspended) {
 			return time.Duration(suspended)
 		}
 	}
 }
 
-// Now is the present moment.
-func Now() Moment { return Moment{steady: time.Now(), suspended: suspended()} }
+// Now returns the current time.
+func Now() Moment { return Moment{monotonic: time.Now(), suspended: suspended()} }
 
-// Age is how long ago the moment was.
+// Age returns the time elapsed since the moment.
 func (m Moment) Age() time.Duration { return Now().Sub(m) }
 
-// Sub is the time from an earlier moment to this one.
+// Sub returns the time elapsed from an earlier moment to this one.
 func (m Moment) Sub(earlier Moment) time.Duration {
-	return m.steady.Sub(earlier.steady) + m.suspended - earlier.suspended
+	return m.monotonic.Sub(earlier.monotonic) + m.suspended - earlier.suspended
 }
 
-// Add is the moment that much later.
-func (m Moment) Add(length time.Duration) Moment {
-	return Moment{steady: m.steady.Add(length), suspended: m.suspended}
+// Add returns the moment advanced by a duration.
+func (m Moment) Add(duration time.Duration) Moment {
+	return Moment{monotonic: m.monotonic.Add(duration), suspended: m.suspended}
 }
 
-// After tells whether the moment is later than another.
+// After reports whether the moment is later than another.
 func (m Moment) After(other Moment) bool { return m.Sub(other) > 0 }
--- a/internal/coordination/steady/steady_test.go
+++ b/internal/coordination/steady/steady_test.go
@@ -8,27 +8,27 @@
 	"github.com/matryer/is"
 )
 
-// A machine is suspended for 5 s. The steady clock goes on as if nothing had been;
-// the age of what was known before must have grown by all of it.
+// The monotonic clock does not advance while the machine is suspended for 5 s; ages
+// must still grow by the full 5 s.
 func TestSuspensionCountsAsAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		slept := time.Duration(0)
-		suspended = func() time.Duration { return slept }
+		suspendedFor := time.Duration(0)
+		suspended = func() time.Duration { return suspendedFor }
 		defer func() { suspended = readSuspended }()
-		known := Now()
+		start := Now()
 		time.Sleep(time.Second)
-		is.Equal(known.Age(), time.Second)
-		slept = 5 * time.Second
-		is.Equal(known.Age(), 6*time.Second)
-		is.True(Now().After(known.Add(5 * time.Second)))
-		is.True(!Now().After(known.Add(7 * time.Second)))
+		is.Equal(start.Age(), time.Second)
+		suspendedFor = 5 * time.Second
+		is.Equal(start.Age(), 6*time.Second)
+		is.True(Now().After(start.Add(5 * time.Second)))
+		is.True(!Now().After(start.Add(7 * time.Second)))
 	})
 }
 
-// A process that is stopped between its readings of two clocks must not take that for
-// a suspension, and the error of a reading must not show: an age that shrinks by a
-// millisecond makes a tick too few, one that grows a tick too many.
+// A pause of the process between its readings of the two clocks must not be taken for a
+// suspension, and reading errors must not change the suspended time: an age that
+// shrinks by a millisecond can cost a tick, one that grows can add one.
 func TestSuspendedTimeStandsStillWhileAwake(t *testing.T) {
 	is := is.New(t)
 	first := readSuspended()
@@ -37,13 +37,13 @@
 	}
 }
 
-// The time grows by whole suspensions and never falls.
+// The suspended time must increase only by whole suspensions and must never decrease.
 func TestSuspendedTimeNeverFalls(t *testing.T) {
 	is := is.New(t)
-	before := known.Load()
-	defer known.Store(before)
-	known.Store(int64(time.Hour))
-	is.Equal(note(int64(time.Hour+time.Millisecond)), time.Hour)
-	is.Equal(note(int64(time.Hour-time.Minute)), time.Hour)
-	is.Equal(note(int64(time.Hour+time.Second)), time.Hour+time.Second)
+	before := suspendedTotal.Load()
+	defer suspendedTotal.Store(before)
+	suspendedTotal.Store(int64(time.Hour))
+	is.Equal(recordSuspended(int64(time.Hour+time.Millisecond)), time.Hour)
+	is.Equal(recordSuspended(int64(time.Hour-time.Minute)), time.Hour)
+	is.Equal(recordSuspended(int64(time.Hour+time.Second)), time.Hour+time.Second)
 }
