--- a/internal/coordination/control/control.go
+++ b/internal/coordination/control/control.go
@@ -1,4 +1,4 @@
-// Package control is what the rest of an instance sees of the replicated
+// Package control defines how the other parts of an instance access the replicated
 // control state, whether the instance is a voter or follows one.
 package control
 
@@ -14,78 +14,80 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// Log is the replicated log of one instance.
+// Log is the replicated log as seen by one instance.
 type Log interface {
-	// State is the newest applied state; it never goes back.
+	// State returns the newest applied state. Its index never decreases.
 	State() *store.State
-	// Fresh fails with stale_state while the state is older than the
-	// freshness bound: an instance that is cut off must refuse what it would
-	// otherwise admit under rules since replaced.
+	// Fresh fails with stale_state while the state is older than the freshness bound: a
+	// partitioned instance must reject requests that it would otherwise admit under
+	// rules that have since been replaced.
 	Fresh() error
-	// Changed gives a channel that is closed when the state next changes.
+	// Changed returns a channel that is closed at the next change of the state.
 	Changed() <-chan struct{}
-	// Propose commits one command, by way of the leader, and gives its result.
+	// Propose commits a command, through the leader, and returns its result.
 	Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error)
-	// Leader names the instance that leads as far as is known, or is empty.
+	// Leader returns the name of the leader's instance; empty if unknown.
 	Leader() string
-	// IsLeader tells whether this instance leads.
+	// IsLeader reports whether this instance is the leader.
 	IsLeader() bool
 }
 
-// Stream is the serving end of one follower's stream.
+// Stream is the server side of a follower's stream.
 type Stream interface {
 	Send(batch *peerpb.FollowBatch) error
-	// Receive waits for the follower's next ping.
+	// Receive waits for the next ping of the follower.
 	Receive() (*peerpb.FollowPing, error)
 }
 
-// SourceStream is the following end of a stream.
+// SourceStream is the client side of a follower's stream, which receives from a source.
 type SourceStream interface {
 	Send(ping *peerpb.FollowPing) error
-	// Receive waits for the next batch; a source that ends the stream with a
-	// reason makes it fail with that failure.
+	// Receive waits for the next batch. If the source ends the stream with a reason, it
+	// fails with that failure.
 	Receive() (*peerpb.FollowBatch, error)
-	// Arrived counts the bytes that have come, those of an unfinished batch too.
+	// Arrived returns the number of bytes received, including those of an incomplete
+	// batch.
 	Arrived() uint64
 	Close() error
 }
 
-// MessageStream carries consensus messages to one replica. A message may be
-// lost; those that arrive are in order.
+// MessageStream sends consensus messages to one replica. Messages may be lost; those
+// that arrive are in order.
 type MessageStream interface {
 	Send(messages ...*consensuspb.Message) error
 	Close() error
 }
 
-// Node is an instance's part in the log: a voter or a follower.
+// Node is the member of the log that runs in an instance: a voter, a learner or a
+// follower.
 type Node interface {
 	Log
-	// Run takes part until ctx ends; it fails when the disk does.
+	// Run operates the node until ctx ends. It fails if the disk fails.
 	Run(ctx context.Context) error
-	// ServePropose answers a command that another instance sent.
+	// ServePropose handles a command that another instance forwarded.
 	ServePropose(ctx context.Context, propose *peerpb.Propose) (*controlpb.Result, error)
-	// ServeFollow sends another instance the log until its stream ends.
+	// ServeFollow streams the log to another instance until its stream ends.
 	ServeFollow(ctx context.Context, follow *peerpb.Follow, stream Stream) error
-	// ServeReplica answers the calls that replicas make among themselves, and
-	// an operator's change of members.
+	// ServeReplica handles the calls between replicas, and membership changes by an
+	// operator.
 	ServeReplica(ctx context.Context, call *peerpb.Call) (*peerpb.Reply, error)
-	// ChangeMembers changes who keeps the log, by way of the leader.
+	// ChangeMembers changes the membership of the log, through the leader.
 	ChangeMembers(ctx context.Context, change *peerpb.ChangeMembers) error
-	// Role is the instance's part in the log: leader, voter, learner, or empty
-	// where it follows.
+	// Role returns the role of the instance in the log: leader, voter or learner; empty
+	// if it only follows.
 	Role() string
-	// Deliver takes one consensus message; it does not wait.
+	// Deliver passes in one consensus message. It does not block.
 	Deliver(message *consensuspb.Message)
 }
 
-// Reader is the reading part of a Log.
+// Reader is the read-only part of a Log.
 type Reader interface {
 	State() *store.State
 	Changed() <-chan struct{}
 }
 
-// Await waits until the instance's own state holds a log index, and fails with
-// stale_state when ctx ends first.
+// Await waits until the local state includes a log index. It fails with stale_state if
+// ctx ends first.
 func Await(ctx context.Context, log Reader, index uint64) error {
 	for {
 		changed := log.Changed()
@@ -100,8 +102,8 @@
 	}
 }
 
-// Read waits until the instance's own state holds everything that was committed
-// before the call: an entry without effect goes through the log behind it all.
+// Read waits until the local state includes everything that was committed before the
+// call, by committing a command without effect and waiting until it is applied.
 func Read(ctx context.Context, log Log) error {
 	result, err := log.Propose(ctx, &controlpb.Command{})
 	if err != nil {
@@ -110,17 +112,18 @@
 	return Await(ctx, log, result.Index)
 }
 
-// Pause waits between two tries; it reports false where ctx ends first.
-func Pause(ctx context.Context, length time.Duration) bool {
+// Pause sleeps between two attempts. It returns false if ctx ends first.
+func Pause(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(length):
+	case <-time.After(duration):
 		return true
 	}
 }
 
-// Every does something at an interval, the first time after one, until ctx ends.
+// Every calls a function periodically, for the first time after one interval, until ctx
+// ends.
 func Every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -134,49 +137,53 @@
 	}
 }
 
-// Published is the newest state of a node. One goroutine publishes; any reads.
+// Published holds the newest state of a node. One goroutine publishes; any number may
+// read concurrently.
 type Published struct {
 	state   atomic.Pointer[store.State]
 	changed Signal
 }
 
-// NewPublished holds the empty state.
+// NewPublished returns a Published with the empty state.
 func NewPublished() *Published {
 	p := &Published{}
 	p.state.Store(store.New())
 	return p
 }
 
-// State is the newest published state.
+// State returns the newest published state.
 func (p *Published) State() *store.State { return p.state.Load() }
 
-// Changed gives a channel that is closed by the next Publish.
+// Changed returns a channel that is closed by the next Publish.
 func (p *Published) Changed() <-chan struct{} { return p.changed.Next() }
 
-// Publish replaces the state and wakes everyone who waits.
+// Publish replaces the state and wakes all waiting goroutines.
 func (p *Published) Publish(state *store.State) {
 	p.state.Store(state)
 	p.changed.Raise()
 }
 
-// Apply moves the state over one entry. Voters and followers both use it, so
-// that an entry without a command moves the index alike on all of them.
+// Apply applies one entry to the state. Voters and followers both use it, so that an
+// entry without a command advances the index identically on all of them. Commands
+// decided in a term other than the entry's have no effect.
 func Apply(state *store.State, entry *peerpb.LogEntry) (*store.State, *controlpb.Result) {
 	command := entry.Command
 	if command == nil {
 		command = &controlpb.Command{}
 	}
 	if command.DecidedIn != 0 && command.DecidedIn != entry.Term {
-		return outdated(state, entry.Index)
+		return skipStaleDecision(state, entry.Index)
 	}
 	return state.Apply(entry.Index, command)
 }
 
-// outdated passes over what an earlier leader decided. A leader that was frozen wakes
-// with its old beliefs, and what it proposes is forwarded to the leader of now: a run
-// that it takes for ended would be started again beside itself. The term of the entry
-// is that of the leader that wrote it, so every replica passes over the same ones.
-func outdated(state *store.State, index uint64) (*store.State, *controlpb.Result) {
+// skipStaleDecision applies an entry without effect because its command was decided by
+// an earlier leader. A leader that resumes after a pause acts on outdated state, and
+// its proposals are forwarded to the current leader: a run that it considers ended
+// would be started a second time while the first is still executing. The decision
+// depends only on the terms of the command and of the entry, so that all replicas skip
+// the same entries.
+func skipStaleDecision(state *store.State, index uint64) (*store.State, *controlpb.Result) {
 	next, result := state.Apply(index, &controlpb.Command{})
 	result.Code = string(failure.StaleEpoch)
 	result.Detail = "decided by an earlier leader"
--- a/internal/coordination/control/control_test.go
+++ b/internal/coordination/control/control_test.go
@@ -12,10 +12,10 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// A leader is frozen; another is elected, stops a run and has not seen its end. The
-// first wakes, takes the run for ended by its old beliefs, and what it proposes is
-// forwarded to the leader of now. Were it to take effect, the task would be placed
-// again beside the run that goes on.
+// A leader is paused; a new leader stops a run and has not yet observed its end. The
+// first leader resumes, considers the run ended because its state is outdated, and its
+// proposal is forwarded to the new leader. If the proposal had an effect, the task
+// would be placed again while its run is still executing.
 func TestDecisionOfAnEarlierLeaderTakesNoEffect(t *testing.T) {
 	is := is.New(t)
 	job := &controlpb.Job{
@@ -31,8 +31,8 @@
 	next, result := control.Apply(state, &peerpb.LogEntry{Index: 8, Term: 3, Command: move(2)})
 	is.Equal(result.Code, string(failure.StaleEpoch))
 	is.Equal(next.Index(), uint64(8))
-	stays, _ := next.Job("j")
-	is.Equal(stays.State, controlpb.JobState_JOB_STATE_STOPPING)
+	unchanged, _ := next.Job("j")
+	is.Equal(unchanged.State, controlpb.JobState_JOB_STATE_STOPPING)
 
 	next, result = control.Apply(next, &peerpb.LogEntry{Index: 9, Term: 3, Command: move(3)})
 	is.Equal(result.Code, "")
--- a/internal/coordination/control/signal.go
+++ b/internal/coordination/control/signal.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// Signal tells everyone who waits for it that something has changed. The zero value
-// is ready for use.
+// Signal notifies all waiting goroutines of a change. The zero value is ready to use.
+// It is safe for concurrent use.
 type Signal struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-// Next gives a channel that is closed by the next Raise. Who takes it before reading
-// what may change misses no change.
+// Next returns a channel that is closed by the next Raise. A caller that obtains the
+// channel before it reads the state in question misses no change.
 func (s *Signal) Next() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -20,7 +20,7 @@
 	return s.next
 }
 
-// Raise wakes everyone who waits.
+// Raise wakes all goroutines that wait for the signal.
 func (s *Signal) Raise() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/coordination/control/tries.go
+++ b/internal/coordination/control/tries.go
@@ -9,49 +9,53 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// electionsPerTry is how many of the shortest election timeouts one try may take: a
-// replica waits for up to two before it stands for election, and the election and its
-// news get one more.
-const electionsPerTry = 3
+// electionTimeoutsPerAttempt limits one attempt, in minimum election timeouts: a
+// replica waits for up to two of them before it campaigns, and the election and its
+// announcement take up to one more.
+const electionTimeoutsPerAttempt = 3
 
-// Leaders tells who leads, as far as an instance knows.
+// Leaders provides the current leader as known to an instance.
 type Leaders interface {
 	Leader() string
-	// LeaderChanged gives a channel that is closed when another leader is known next.
+	// LeaderChanged returns a channel that is closed when another leader next becomes
+	// known.
 	LeaderChanged() <-chan struct{}
 }
 
-// Tries are the tries to have the leader commit one command.
+// Tries tracks the attempts to have the leader commit one command. It is not safe for
+// concurrent use.
 type Tries struct {
 	idempotent bool
-	// unknown is the failure of a try that may have run.
-	unknown error
+	// unknownOutcome is the failure of the last attempt that may have been executed.
+	unknownOutcome error
 }
 
-// NewTries begins the tries of a command.
+// NewTries returns the Tries of a new command.
 func NewTries(command *controlpb.Command) *Tries {
 	return &Tries{idempotent: store.Idempotent(command)}
 }
 
-// Bound gives one try's part of ctx. A frozen leader keeps its connections open and never
-// answers: who waited for it would pass its deadline, though another leader would answer
-// at once. A try of an idempotent command ends when a leader is known that is neither the
-// one asked nor the one known before, or else after electionsPerTry. Others have all of
+// Bound derives the context of one attempt from ctx. A paused leader keeps its
+// connections open but does not answer: a caller that waited for it would miss its
+// deadline, although another leader could answer immediately. The attempt of an
+// idempotent command ends when a leader becomes known that is neither the one asked nor
+// the one known before, or after electionTimeoutsPerAttempt. Other commands get all of
 // ctx, since they are never sent again.
 func (t *Tries) Bound(ctx context.Context, leaders Leaders, known, asked string, electionTimeout time.Duration) (context.Context, context.CancelFunc) {
 	if !t.idempotent {
 		return ctx, func() {}
 	}
-	try, cancel := context.WithTimeout(ctx, electionsPerTry*electionTimeout)
+	attempt, cancel := context.WithTimeout(ctx, electionTimeoutsPerAttempt*electionTimeout)
 	go func() {
 		defer cancel()
-		awaitOther(try, leaders, known, asked)
+		awaitOtherLeader(attempt, leaders, known, asked)
 	}()
-	return try, cancel
+	return attempt, cancel
 }
 
-// awaitOther waits until a leader is known that is neither of two, or ctx ends.
-func awaitOther(ctx context.Context, leaders Leaders, known, asked string) {
+// awaitOtherLeader waits until a leader other than known and asked is known, or ctx
+// ends.
+func awaitOtherLeader(ctx context.Context, leaders Leaders, known, asked string) {
 	for {
 		changed := leaders.LeaderChanged()
 		if leader := leaders.Leader(); leader != "" && leader != known && leader != asked {
@@ -65,35 +69,38 @@
 	}
 }
 
-// Failed notes a failed try and tells whether the command may run again though this
-// one's outcome is unknown.
-func (t *Tries) Failed(err error) (again bool) {
+// Failed records a failed attempt and reports whether the command may be sent again
+// although the outcome of this attempt is unknown. It returns false if the command was
+// certainly not executed.
+func (t *Tries) Failed(err error) (retry bool) {
 	f := failure.From(err)
 	if f.NotRun == failure.NotRunTrue {
 		return false
 	}
-	t.unknown = err
+	t.unknownOutcome = err
 	return t.idempotent && (f.Code == failure.OutcomeUnknown || f.Code == failure.Unreachable)
 }
 
-// Idempotent tells whether the command may run twice.
+// Idempotent reports whether the command may be executed twice.
 func (t *Tries) Idempotent() bool { return t.idempotent }
 
-// Failure is what the caller is told after the last try: once an outcome was unknown
-// it stays so, for a later refusal says nothing of the try before.
+// Failure returns the error for the caller after the last attempt. Once the outcome of
+// an attempt was unknown, it remains unknown: a later rejection gives no information on
+// the earlier attempt.
 func (t *Tries) Failure(last error) error {
-	if t.unknown != nil {
-		return t.unknown
+	if t.unknownOutcome != nil {
+		return t.unknownOutcome
 	}
 	return last
 }
 
-// Answer is what the caller is told of a result. A refusal by the state counts as not
-// run, but an earlier try may still wait at a leader and be committed after it: a
-// cancellation that found no workflow would end one that is submitted next.
+// Answer returns the result for the caller. A rejection by the state normally means
+// that the command was not executed, but an earlier attempt may still be queued at a
+// leader and be committed later: a cancellation that found no workflow would then
+// cancel one submitted afterwards. In that case the earlier failure is returned.
 func (t *Tries) Answer(result *controlpb.Result) (*controlpb.Result, error) {
-	if t.idempotent && t.unknown != nil && result.GetCode() != "" {
-		return nil, t.unknown
+	if t.idempotent && t.unknownOutcome != nil && result.GetCode() != "" {
+		return nil, t.unknownOutcome
 	}
 	return result, nil
 }
--- a/internal/coordination/control/until.go
+++ b/internal/coordination/control/until.go
@@ -2,15 +2,16 @@
 
 import "context"
 
-// Until gives a context that ends with ctx, or when done is closed.
+// Until returns a context that ends when ctx ends or done is closed. The caller must
+// call the cancel function.
 func Until(ctx context.Context, done <-chan struct{}) (context.Context, context.CancelFunc) {
-	until, cancel := context.WithCancel(ctx)
+	child, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
 		case <-done:
 			cancel()
-		case <-until.Done():
+		case <-child.Done():
 		}
 	}()
-	return until, cancel
+	return child, cancel
 }
