--- a/internal/coordination/consensus/bench_test.go
+++ b/internal/coordination/consensus/bench_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// compactLogs bounds the memory that a benchmark uses.
+// compactLogs limits the memory that a benchmark uses.
 func (sim *simulation) compactLogs() {
 	for _, r := range sim.replicas {
 		r.history.acknowledgedTermAt = r.history.acknowledgedTermAt[:1]
--- a/internal/coordination/consensus/network_test.go
+++ b/internal/coordination/consensus/network_test.go
@@ -20,7 +20,7 @@
 	loseVote       bool
 	reuseIdentity  bool // a replica restarts with an empty disk under its old identity
 	// adaptiveTimeout is not a fault: it makes election timeouts adapt to the observed
-	// silences.
+	// intervals between messages.
 	adaptiveTimeout bool
 }
 
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -25,9 +25,9 @@
 	// ElectionTicks is the minimum election timeout in ticks. Each timeout is
 	// randomized, with Rand, between this value and twice this value.
 	ElectionTicks int
-	// MostElectionTicks is the upper bound, in ticks, of the minimum election timeout
-	// when it adapts to the observed silences and process pauses; 0 disables the
-	// adaptation.
+	// MostElectionTicks is the upper limit, in ticks, of the minimum election timeout
+	// when it adapts to the observed intervals between messages and to process pauses;
+	// 0 disables the adaptation.
 	MostElectionTicks int
 	// HeartbeatTicks is the interval between a leader's heartbeats, in ticks.
 	HeartbeatTicks int
--- a/internal/coordination/consensus/schedule_test.go
+++ b/internal/coordination/consensus/schedule_test.go
@@ -181,7 +181,7 @@
 }
 
 // checkRecovery stops the faults and checks that a leader emerges and commits within
-// the bound. It returns false if too many disks are lost for that.
+// the time limit. It returns false if too many disks are lost for that.
 func (sim *simulation) checkRecovery() bool {
 	if !sim.disksFormQuorums() {
 		return false
@@ -193,9 +193,9 @@
 			sim.start(r)
 		}
 	}
-	bound := recoveryElections * max(sim.config.ElectionTicks, sim.config.MostElectionTicks)
+	limit := recoveryElections * max(sim.config.ElectionTicks, sim.config.MostElectionTicks)
 	target := entryID{}
-	for range bound {
+	for range limit {
 		sim.round()
 		leader := sim.leader()
 		if leader == nil || sim.violation != "" {
@@ -210,7 +210,7 @@
 			return true
 		}
 	}
-	sim.fail("no progress within %d ticks after the faults", bound)
+	sim.fail("no progress within %d ticks after the faults", limit)
 	return true
 }
 
