--- /dev/null
+++ b/internal/coordination/control/context.go
@@ -0,0 +1,17 @@
+package control
+
+import "context"
+
+// Until returns a context that ends when ctx ends or done is closed. The caller must
+// call the cancel function.
+func Until(ctx context.Context, done <-chan struct{}) (context.Context, context.CancelFunc) {
+	child, cancel := context.WithCancel(ctx)
+	go func() {
+		select {
+		case <-done:
+			cancel()
+		case <-child.Done():
+		}
+	}()
+	return child, cancel
+}
