--- a/internal/coordination/routing/creditmembers/creditmembers.go
+++ b/internal/coordination/routing/creditmembers/creditmembers.go
@@ -1,11 +1,12 @@
-// Package creditmembers decides which entry instances the slots of minions are
-// shared out to. The leader of the control log alone changes them, one epoch at
-// a time; it reads no clock.
+// Package creditmembers decides among which entry instances the slots of minions
+// are divided. Only the leader of the control log changes these members, one
+// epoch at a time. The package reads no clock.
 //
-// Removing an instance is a matter of liveness: its credits would otherwise lie
-// idle. That nobody uses a removed instance's credits beside it rests on the
-// log: it stays listed as departed for the length of the lease, and an instance
-// whose control state was confirmed within the lease knows of its own removal.
+// Removing an instance serves liveness only: its credits would otherwise stay
+// idle. Safety, that nobody uses a removed instance's credits at the same time as
+// it does, follows from the log: a removed instance stays listed as departed for
+// the duration of the lease, and an instance whose control state was confirmed
+// within the lease knows of its own removal.
 package creditmembers
 
 import (
@@ -16,38 +17,38 @@
 )
 
 const (
-	// removeAfter is how long an instance must be silent to be removed.
+	// removeAfter is how long an instance must be silent before it is removed.
 	removeAfter = 3 * time.Second
-	// clockMargin is added to the lease for clocks of unequal speed and for the
-	// time between two looks at the own lease.
+	// clockMargin is added to the lease to allow for clock drift and for the
+	// interval at which an instance checks its own lease.
 	clockMargin = time.Second
 )
 
-// Keeper follows the members while its instance leads.
+// Keeper decides about changes of the members while its instance is the leader.
 type Keeper struct {
 	lease time.Duration
-	// silent and departed hold since when, seen by this leader, a member has
-	// been silent or a departed one departed.
+	// silent and departed hold the times at which this leader first saw a member
+	// silent or an instance departed.
 	silent   map[string]time.Time
 	departed map[string]time.Time
 }
 
-// NewKeeper makes a keeper for that length of lease.
+// NewKeeper returns a keeper for leases of the given duration.
 func NewKeeper(lease time.Duration) *Keeper {
 	k := &Keeper{lease: lease}
 	k.Forget()
 	return k
 }
 
-// Forget drops what was seen: an instance that does not lead, or has just begun
-// to, counts every time anew.
+// Forget discards all observations. An instance that is not the leader, or has
+// just become it, starts all times again.
 func (k *Keeper) Forget() {
 	k.silent = map[string]time.Time{}
 	k.departed = map[string]time.Time{}
 }
 
-// Next gives the members of the next epoch, or nil where nothing changes.
-// alive are the instances heard of lately whose control state is fresh.
+// Next returns the members of the next epoch, or nil if nothing changes. alive
+// are the instances heard from recently whose control state is fresh.
 func (k *Keeper) Next(now time.Time, current *controlpb.CreditMembers, alive []string) *controlpb.CreditMembers {
 	next := &controlpb.CreditMembers{Epoch: current.Epoch + 1}
 	for _, member := range current.Members {
@@ -55,7 +56,7 @@
 		case slices.Contains(alive, member):
 			delete(k.silent, member)
 			next.Members = append(next.Members, member)
-		case since(k.silent, member, now) < removeAfter:
+		case sinceFirstSeen(k.silent, member, now) < removeAfter:
 			next.Members = append(next.Members, member)
 		default:
 			delete(k.silent, member)
@@ -68,7 +69,7 @@
 		}
 	}
 	for _, name := range current.Departed {
-		if !slices.Contains(next.Members, name) && since(k.departed, name, now) < k.lease+clockMargin {
+		if !slices.Contains(next.Members, name) && sinceFirstSeen(k.departed, name, now) < k.lease+clockMargin {
 			next.Departed = append(next.Departed, name)
 			continue
 		}
@@ -82,8 +83,9 @@
 	return next
 }
 
-// since gives for how long a name has been in the set, which it puts it in.
-func since(set map[string]time.Time, name string, now time.Time) time.Duration {
+// sinceFirstSeen returns how long a name has been in the set, and adds it with
+// the current time if it is not.
+func sinceFirstSeen(set map[string]time.Time, name string, now time.Time) time.Duration {
 	at, ok := set[name]
 	if !ok {
 		set[name] = now
--- a/internal/coordination/routing/creditmembers/creditmembers_test.go
+++ b/internal/coordination/routing/creditmembers/creditmembers_test.go
@@ -9,10 +9,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-func TestRemovedStaysDepartedForTheLease(t *testing.T) {
-	// One instance falls silent. Its credits go to the others only after it was
-	// listed as departed for the whole lease, counted anew by each leader: an
-	// instance that is merely cut off may use them that long.
+func TestRemovedMemberStaysDepartedForTheLease(t *testing.T) {
+	// An instance becomes silent. Its credits go to the others only after it was
+	// listed as departed for the whole lease, measured from the start by each
+	// leader, because an instance that is merely cut off may use them for that long.
 	is := is.New(t)
 	const lease = 3 * time.Second
 	now := time.Unix(1000, 0)
@@ -27,21 +27,21 @@
 		}
 		return next
 	}
-	is.True(step(0, "a") == nil) // a short silence is no loss
+	is.True(step(0, "a") == nil) // a short silence does not remove a member
 	is.True(step(2*time.Second, "a") == nil)
 	is.Equal(step(time.Second, "a").Departed, []string{"b"})
 	is.True(step(0, "a") == nil)
-	keeper.Forget() // another leader counts anew
+	keeper.Forget() // a new leader measures the lease from the start
 	is.True(step(lease, "a") == nil)
 	is.True(step(lease, "a") == nil)
 	is.True(step(clockMargin, "a") != nil)
 	is.Equal(current.Members, []string{"a"})
 	is.Equal(len(current.Departed), 0)
-	is.Equal(step(0, "a", "b").Members, []string{"a", "b"}) // it comes back as a new member
+	is.Equal(step(0, "a", "b").Members, []string{"a", "b"}) // it returns as a new member
 }
 
-func TestReturnEndsDeparture(t *testing.T) {
-	// A departed instance is heard again before its lease is over: it joins the
+func TestReturningInstanceIsNoLongerDeparted(t *testing.T) {
+	// A departed instance is alive again before its lease has expired. It joins the
 	// next epoch, which it must confirm like any other member.
 	is := is.New(t)
 	keeper := NewKeeper(time.Second)
