--- a/internal/coordination/routing/admission/budget.go
+++ b/internal/coordination/routing/admission/budget.go
@@ -3,19 +3,20 @@
 import "time"
 
 const (
-	// retryShare is how much of a retry each success earns.
-	retryShare = 0.1
-	// maxBudget bounds what can be saved up, and is what a customer starts with.
+	// retryRatio is the number of retries that each success adds to the budget.
+	retryRatio = 0.1
+	// maxBudget is the capacity of the budget and its initial value, in retries.
 	maxBudget = 10
 )
 
-// budget is a customer's token bucket of retries and hedges. Retries stay a
-// share of the successes, so a failing service sees at most a tenth more.
+// budget is a customer's token bucket for retries and hedges. It limits retries
+// to a fraction of the successes, so that they add at most a tenth to the load
+// of a failing service.
 type budget struct{ tokens float64 }
 
 func newBudget() budget { return budget{tokens: maxBudget} }
 
-func (b *budget) succeeded() { b.tokens = min(b.tokens+retryShare, maxBudget) }
+func (b *budget) succeeded() { b.tokens = min(b.tokens+retryRatio, maxBudget) }
 
 func (b *budget) spend() bool {
 	if b.tokens < 1 {
@@ -25,23 +26,24 @@
 	return true
 }
 
-// burst is how much of a second's requests may come at once.
+// burst is the capacity of the token bucket in seconds of the permitted rate.
 const burst = 0.5
 
-// rateShare is this instance's part of a customer's limit of requests per second.
+// rateShare is the token bucket for this instance's part of a customer's limit
+// on requests per second.
 type rateShare struct {
-	// share is the part of the limit that falls to this instance, 0 to 1.
-	share  float64
-	tokens float64
-	at     time.Time
-	// seen counts arrivals since the last report of demand.
-	seen int
+	// share is this instance's fraction of the limit, from 0 to 1.
+	share      float64
+	tokens     float64
+	refilledAt time.Time
+	// arrivals counts requests since the last demand report.
+	arrivals int
 }
 
-// take uses one token of the limit; where there is none it gives the time until
-// there is one.
+// take consumes one token. If none is available, it returns false and the time
+// until the next one. A rate of 0 or less is no limit.
 func (r *rateShare) take(now time.Time, rate int) (wait time.Duration, ok bool) {
-	r.seen++
+	r.arrivals++
 	if rate <= 0 {
 		return 0, true
 	}
@@ -49,13 +51,13 @@
 	if perSecond <= 0 {
 		return noMinionRetry, false
 	}
-	most := max(1, perSecond*burst)
-	if r.at.IsZero() {
-		r.tokens = most
+	capacity := max(1, perSecond*burst)
+	if r.refilledAt.IsZero() {
+		r.tokens = capacity
 	} else {
-		r.tokens = min(most, r.tokens+now.Sub(r.at).Seconds()*perSecond)
+		r.tokens = min(capacity, r.tokens+now.Sub(r.refilledAt).Seconds()*perSecond)
 	}
-	r.at = now
+	r.refilledAt = now
 	if r.tokens < 1 {
 		return seconds((1 - r.tokens) / perSecond), false
 	}
--- a/internal/coordination/routing/admission/credit_test.go
+++ b/internal/coordination/routing/admission/credit_test.go
@@ -9,129 +9,130 @@
 	"pinewinch.example/pinewinch/internal/coordination/routing/credit"
 )
 
-// pair makes a policy beside one other instance that has confirmed the epoch.
-func pair(slots int) (*bench, View) {
-	b := newBench(0, 0)
+// newPair returns a policy with one other instance that has confirmed the epoch.
+func newPair(slots int) (*harness, View) {
+	h := newHarness(0, 0)
 	view := View{Epoch: 2, Members: []string{"a", "z"}, Minions: []Minion{{ID: "m", Slots: slots, Services: []string{"s"}}}}
-	b.note(b.SetView(b.now, view))
-	b.Book().Confirm("z", 2, nil)
-	b.Book().Meet("z", nil)
-	return b, view
+	h.record(h.SetView(h.now, view))
+	h.Book().Confirm("z", 2, nil)
+	h.Book().Meet("z", nil)
+	return h, view
 }
 
 func TestCutOffStartsNothingAndSaysSoAtOnce(t *testing.T) {
-	// An instance loses touch with the control log for longer than its state
-	// stays fresh. Rules may have been replaced and its credits given to others:
-	// what waits and what arrives is refused as not run in the same event, what
-	// is in flight ends as it ends, and no freed credit starts anything.
+	// An instance is cut off from the control log for longer than its state stays
+	// fresh. The configuration may have changed and its credits may belong to
+	// others: queued and new requests must be refused in the same event, requests
+	// in flight run to completion, and freed credits start nothing.
 	is := is.New(t)
-	b, view := pair(4)
-	b.learn()
+	h, view := newPair(4)
+	h.learnServiceTime()
 	for range 2 {
-		b.arrive("a", time.Minute, true)
+		h.arrive("a", time.Minute, true)
 	}
-	b.arrive("a", time.Minute, true)
-	ask := b.waitForAsk()
-	b.note(b.Replied(b.now, "z", Reply{Sequence: ask.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}, true))
-	is.Equal(len(b.started), 3) // the third runs on the loan
-	waiting := b.arrive("a", time.Minute, true)
+	h.arrive("a", time.Minute, true)
+	ask := h.lastBorrowRequest()
+	h.record(h.Replied(h.now, "z", Reply{Sequence: ask.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}, true))
+	is.Equal(len(h.started), 3) // the third uses the borrowed credit
+	waiting := h.arrive("a", time.Minute, true)
 
 	view.CutOff = true
-	b.note(b.SetView(b.now, view))
-	is.Equal(b.refused[waiting].Reason, ReasonCutOff)
-	is.Equal(b.refused[b.arrive("a", time.Minute, true)].Reason, ReasonCutOff)
+	h.record(h.SetView(h.now, view))
+	is.Equal(h.refused[waiting].Reason, ReasonCutOff)
+	is.Equal(h.refused[h.arrive("a", time.Minute, true)].Reason, ReasonCutOff)
 	for i := range 3 {
-		b.done(b.started[i], Answered)
+		h.done(h.started[i], Answered)
 	}
-	is.Equal(len(b.started), 3)
-	is.Equal(b.Book().Borrowed(), 0) // the loan is given up, not used again
+	is.Equal(len(h.started), 3)
+	is.Equal(h.Book().Borrowed(), 0) // the borrowed credit is returned, not reused
 }
 
-func TestOwnCreditsServeWhenNoOtherInstanceAnswers(t *testing.T) {
-	// The log is within reach but the other instances are not, so every ask is
-	// lost. Callers are served on the instance's own part of the slots.
+func TestOwnCreditsAreUsedWhenNoLenderAnswers(t *testing.T) {
+	// The control log is reachable but the other instances are not, so every
+	// borrow request fails. Requests are served with the instance's own credits.
 	is := is.New(t)
-	b, _ := pair(4)
-	b.learn()
+	h, _ := newPair(4)
+	h.learnServiceTime()
 	for range 5 {
-		b.arrive("a", time.Minute, true)
+		h.arrive("a", time.Minute, true)
 	}
 	for i := range 3 {
-		b.note(b.Replied(b.now, "z", Reply{Sequence: b.waitForAsk().Sequence}, false))
-		b.now = b.now.Add(mean)
-		b.done(b.started[i], Answered)
-		b.note(b.Tick(b.now))
+		h.record(h.Replied(h.now, "z", Reply{Sequence: h.lastBorrowRequest().Sequence}, false))
+		h.now = h.now.Add(mean)
+		h.done(h.started[i], Answered)
+		h.record(h.Tick(h.now))
 	}
-	is.Equal(len(b.started), 5)
+	is.Equal(len(h.started), 5)
 }
 
-func TestLostReplyIsPutRight(t *testing.T) {
-	// The lender granted a credit and the reply got lost. The next ask tells it
-	// that nothing is held, so that the credit does not stay away for ever; an
-	// older ask that arrives after it changes nothing.
+func TestLostReplyIsCorrectedByTheNextRequest(t *testing.T) {
+	// A lender grants a credit and its reply is lost. The next borrow request
+	// reports that nothing is held, so that the credit is not lent for ever. An
+	// older request that arrives afterwards changes nothing.
 	is := is.New(t)
 	lender := New(Config{Self: "z", QueueLength: 10}, 1)
 	lender.SetView(epoch, View{Epoch: 1, Members: []string{"z"}, Minions: []Minion{{ID: "m", Slots: 1, Services: []string{"s"}}}})
 	is.Equal(lender.Book().Lend("a", "m#0", 1), 1)
-	lender.Asked(epoch, "a", Ask{Boot: 1, Sequence: 9})
+	lender.Asked(epoch, "a", Ask{Incarnation: 1, Sequence: 9})
 	is.Equal(lender.Book().Account("m#0").Free(), 1)
 	is.Equal(lender.Book().Lend("a", "m#0", 1), 1)
-	lender.Asked(epoch, "a", Ask{Boot: 1, Sequence: 8})
+	lender.Asked(epoch, "a", Ask{Incarnation: 1, Sequence: 8})
 	is.Equal(lender.Book().Account("m#0").Free(), 0)
 }
 
 func TestReplyOfAReplacedProcessLendsNothing(t *testing.T) {
-	// The lender restarts; a reply of its earlier process arrives late. The new
-	// process knows nothing of that loan and uses the slot itself.
+	// A lender restarts and a reply of its earlier process arrives late. The new
+	// process does not know of that loan and uses the slot itself, so the borrower
+	// must not.
 	is := is.New(t)
-	b, _ := pair(1)
-	b.learnOn(1)
-	ask := b.waitForAsk()
-	b.note(b.Asked(b.now, "z", Ask{Boot: 7, Sequence: 1}))
-	late := Reply{Boot: 6, Sequence: ask.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}
-	b.note(b.Replied(b.now, "z", late, true))
-	is.Equal(b.Book().Borrowed(), 0)
+	h, _ := newPair(1)
+	h.overload(1)
+	ask := h.lastBorrowRequest()
+	h.record(h.Asked(h.now, "z", Ask{Incarnation: 7, Sequence: 1}))
+	late := Reply{Incarnation: 6, Sequence: ask.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}
+	h.record(h.Replied(h.now, "z", late, true))
+	is.Equal(h.Book().Borrowed(), 0)
 }
 
-// learnOn makes this instance wait for more credits than it has.
-func (b *bench) learnOn(requests int) {
+// overload queues more requests than this instance has credits for.
+func (h *harness) overload(requests int) {
 	for range requests + 1 {
-		b.arrive("a", time.Minute, true)
+		h.arrive("a", time.Minute, true)
 	}
 }
 
-func (b *bench) waitForAsk() Ask { return b.asks[len(b.asks)-1].Ask }
+func (h *harness) lastBorrowRequest() Ask { return h.asks[len(h.asks)-1].Ask }
 
-func TestLimitsAddUpOverInstances(t *testing.T) {
-	// A customer may have three requests in flight over two instances that both
-	// have slots to spare. Each instance counts only its part, and the rest
-	// waits: no message is needed for a request.
+func TestCustomerLimitHoldsAcrossInstances(t *testing.T) {
+	// A customer may have three requests in flight across two instances that both
+	// have free slots. Each instance admits only its share of the limit, without
+	// any message, and queues the rest.
 	is := is.New(t)
 	total := 0
 	for _, self := range []string{"a", "z"} {
-		b := newBench(0, 0)
-		b.Policy = New(Config{Self: self, QueueLength: 10}, 1)
-		b.note(b.SetView(b.now, View{
+		h := newHarness(0, 0)
+		h.Policy = New(Config{Self: self, QueueLength: 10}, 1)
+		h.record(h.SetView(h.now, View{
 			Epoch: 1, Members: []string{"a", "z"},
 			Minions:   []Minion{{ID: "m", Slots: 40, Services: []string{"s"}}},
 			Customers: []Customer{{Name: "a", Weight: 1, MaxRequests: 3}},
 		}))
 		for _, other := range []string{"a", "z"} {
-			b.Book().Confirm(other, 1, nil)
-			b.Book().Meet(other, nil)
+			h.Book().Confirm(other, 1, nil)
+			h.Book().Meet(other, nil)
 		}
 		for range 5 {
-			b.arrive("a", time.Minute, true)
+			h.arrive("a", time.Minute, true)
 		}
-		total += len(b.started)
+		total += len(h.started)
 	}
 	is.Equal(total, 3)
 }
 
 func TestRateSharesAddUpToTheLimit(t *testing.T) {
-	// The limit of requests per second follows the demand that the instances
-	// tell each other; the parts of all instances are the whole, so no instance
-	// need ask another before it admits a request.
+	// A limit on requests per second is divided by the demand that the instances
+	// report. The shares must add up to the limit, so that an instance can admit
+	// requests without asking another.
 	is := is.New(t)
 	members := []string{"a", "b", "c"}
 	told := map[string]float64{"a": 90, "b": 10, "c": 0}
@@ -143,7 +144,7 @@
 			p.SetDemands(member, []Demand{{Customer: "x", Rate: rate}})
 		}
 		share := p.customer("x").rate.share
-		is.True(share > 0) // also where there was no demand lately
+		is.True(share > 0) // also without recent demand
 		total += share
 	}
 	is.True(total > 0.999 && total < 1.001)
@@ -157,5 +158,5 @@
 			admitted++
 		}
 	}
-	is.True(admitted >= 99 && admitted <= 105) // 10 seconds at 10 a second, and the burst
+	is.True(admitted >= 99 && admitted <= 105) // 10 s at 10 requests per second, plus the burst
 }
--- a/internal/coordination/routing/admission/estimate.go
+++ b/internal/coordination/routing/admission/estimate.go
@@ -3,55 +3,58 @@
 import "time"
 
 const (
-	// learnRate is the weight of one new service time.
-	learnRate = 0.05
-	// hedgeDeviations beyond the mean is when an answer counts as late.
-	hedgeDeviations = 4
-	// likelyDeviations beyond the mean is when most answers have come.
-	likelyDeviations = 2
+	// sampleWeight is the weight of a new sample in the moving averages.
+	sampleWeight = 0.05
+	// lateDeviations is the number of mean deviations above the mean beyond which
+	// an answer counts as late.
+	lateDeviations = 4
+	// expectedDeviations is the number of mean deviations above the mean within
+	// which most answers arrive.
+	expectedDeviations = 2
 )
 
-// learned is what the answers of a service have taught about its time.
-type learned struct {
+// serviceTime estimates a service's response time, in seconds, from its answers.
+type serviceTime struct {
 	samples   int
 	mean      float64
 	deviation float64
 }
 
-// add learns from one answer; mean and mean deviation after Jacobson (1988).
-func (l *learned) add(took time.Duration) {
+// observe adds the response time of one answer. Mean and mean deviation are
+// computed as in Jacobson (1988).
+func (t *serviceTime) observe(took time.Duration) {
 	seconds := took.Seconds()
-	l.samples++
-	if l.samples == 1 {
-		l.mean = seconds
-		l.deviation = seconds / 2
+	t.samples++
+	if t.samples == 1 {
+		t.mean = seconds
+		t.deviation = seconds / 2
 		return
 	}
-	difference := seconds - l.mean
-	l.mean += learnRate * difference
+	difference := seconds - t.mean
+	t.mean += sampleWeight * difference
 	if difference < 0 {
 		difference = -difference
 	}
-	l.deviation += learnRate * (difference - l.deviation)
+	t.deviation += sampleWeight * (difference - t.deviation)
 }
 
-func (l *learned) ratio(took time.Duration) float64 {
-	if l.mean <= 0 {
+func (t *serviceTime) ratio(took time.Duration) float64 {
+	if t.mean <= 0 {
 		return 1
 	}
-	return took.Seconds() / l.mean
+	return took.Seconds() / t.mean
 }
 
-func (l *learned) usual() time.Duration { return seconds(l.mean) }
+func (t *serviceTime) typical() time.Duration { return seconds(t.mean) }
 
-// likely is the time within which most answers come: a request that has less
-// left would take a slot and mostly be late.
-func (l *learned) likely() time.Duration {
-	return seconds(l.mean + likelyDeviations*l.deviation)
+// expected returns the time within which most answers arrive. A request with
+// less time left would occupy a slot and usually be late.
+func (t *serviceTime) expected() time.Duration {
+	return seconds(t.mean + expectedDeviations*t.deviation)
 }
 
-func (l *learned) late() time.Duration {
-	return seconds(l.mean + hedgeDeviations*l.deviation)
+func (t *serviceTime) lateThreshold() time.Duration {
+	return seconds(t.mean + lateDeviations*t.deviation)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/coordination/routing/admission/health_test.go
+++ b/internal/coordination/routing/admission/health_test.go
@@ -7,118 +7,118 @@
 	"github.com/matryer/is"
 )
 
-func TestFastFailingMinionAbsorbsNoMoreThanItsShare(t *testing.T) {
-	// All minions are busy but one that fails everything at once, so it alone has
-	// slots free whenever a request comes. Callers must not all run into it: it
-	// gets as many attempts as a healthy minion would take in that time.
+func TestFastFailingMinionGetsNoMoreThanItsShare(t *testing.T) {
+	// All minions are busy except one that fails every request at once, so only it
+	// ever has free slots. It must not attract all requests: it gets no more
+	// attempts than a healthy minion would serve in that time.
 	is := is.New(t)
-	b := newBench(10, 2)
-	b.learn()
-	bad := b.view.Minions[0].ID
+	h := newHarness(10, 2)
+	h.learnServiceTime()
+	bad := h.view.Minions[0].ID
 	attempts, done := 0, 0
 	for range 40 {
-		b.arrive("a", time.Minute, true)
-		for ; done < len(b.started); done++ {
-			if b.started[done].Minion.ID == bad {
+		h.arrive("a", time.Minute, true)
+		for ; done < len(h.started); done++ {
+			if h.started[done].Minion.ID == bad {
 				attempts++
-				b.done(b.started[done], Failed)
+				h.done(h.started[done], Failed)
 			}
 		}
 	}
-	is.Equal(len(b.started)-attempts, 18) // every healthy slot is in use
+	is.Equal(len(h.started)-attempts, 18) // every healthy slot is in use
 	is.Equal(attempts, 1)                 // and no time has passed
 }
 
-func TestSlowReturnOfAnOutlier(t *testing.T) {
-	// A minion that failed comes back: one request at a time first, more with
-	// each answer. A wave of waiting requests must not bury it at once.
+func TestOutlierReturnsGradually(t *testing.T) {
+	// An ejected minion returns. It gets one request at first and more with each
+	// answer, so that queued requests do not overload it at once.
 	is := is.New(t)
-	b := newBench(1, 8)
-	b.learn()
+	h := newHarness(1, 8)
+	h.learnServiceTime()
 	for range 5 {
-		b.now = b.now.Add(2 * time.Second)
-		b.arrive("a", time.Hour, false)
-		b.done(b.started[len(b.started)-1], Failed)
+		h.now = h.now.Add(2 * time.Second)
+		h.arrive("a", time.Hour, false)
+		h.done(h.started[len(h.started)-1], Failed)
 	}
 	for range 8 {
-		b.arrive("a", time.Hour, false)
-	}
-	before := len(b.started)
-	b.now = b.now.Add(time.Second)
-	b.note(b.Tick(b.now))
-	is.Equal(len(b.started), before) // ejected
-	b.now = b.now.Add(2 * time.Second)
-	b.note(b.Tick(b.now))
-	is.Equal(len(b.started), before+1)
-	b.now = b.now.Add(mean)
-	b.done(b.started[before], Answered)
-	is.Equal(len(b.started), before+3) // then two
+		h.arrive("a", time.Hour, false)
+	}
+	before := len(h.started)
+	h.now = h.now.Add(time.Second)
+	h.record(h.Tick(h.now))
+	is.Equal(len(h.started), before) // ejected
+	h.now = h.now.Add(2 * time.Second)
+	h.record(h.Tick(h.now))
+	is.Equal(len(h.started), before+1)
+	h.now = h.now.Add(mean)
+	h.done(h.started[before], Answered)
+	is.Equal(len(h.started), before+3) // then two
 }
 
-func TestRefusalBelowDeclaredSlotsLowersTheCeiling(t *testing.T) {
-	// A minion declares eight slots and has two. After its first refusal it gets
-	// no more than it holds, and one more with each round of answers.
+func TestRefusalBelowDeclaredSlotsLowersTheLimit(t *testing.T) {
+	// A minion declares eight slots but has two. After its first refusal it gets no
+	// more requests than it is running, and one more with each round of answers.
 	is := is.New(t)
-	b := newBench(1, 8)
-	b.learn()
+	h := newHarness(1, 8)
+	h.learnServiceTime()
 	for range 3 {
-		b.arrive("a", time.Hour, false)
+		h.arrive("a", time.Hour, false)
 	}
-	b.done(b.started[2], Refused)
+	h.done(h.started[2], Refused)
 	for range 5 {
-		b.arrive("a", time.Hour, false)
+		h.arrive("a", time.Hour, false)
 	}
-	b.now = b.now.Add(time.Second)
-	b.note(b.Tick(b.now))
-	is.Equal(len(b.started), 3) // two run, the refused one waits
-	b.done(b.started[0], Answered)
-	is.Equal(len(b.started), 4)
+	h.now = h.now.Add(time.Second)
+	h.record(h.Tick(h.now))
+	is.Equal(len(h.started), 3) // two run, the refused one waits
+	h.done(h.started[0], Answered)
+	is.Equal(len(h.started), 4)
 }
 
-func TestWaveOfCancellationsUnderOverloadMakesNoOutliers(t *testing.T) {
-	// The service is slower than it was, and callers lose patience and hang up in
-	// waves, each later than an answer was due. The minions do their best: the
-	// next caller must find them.
+func TestCancellationsUnderOverloadEjectNoMinion(t *testing.T) {
+	// The service has become slower and callers cancel in bursts, each after an
+	// answer was due but before the deadline. The minions are healthy and must stay
+	// available for the next request.
 	is := is.New(t)
-	b := newBench(4, 8)
-	b.learn()
+	h := newHarness(4, 8)
+	h.learnServiceTime()
 	for range 5 {
-		var wave []*Request
+		var cancelled []*Request
 		for range 32 {
-			wave = append(wave, b.arrive("a", time.Hour, true))
+			cancelled = append(cancelled, h.arrive("a", time.Hour, true))
 		}
-		b.now = b.now.Add(20 * mean)
-		for _, r := range wave {
-			b.note(b.Leave(b.now, r))
+		h.now = h.now.Add(20 * mean)
+		for _, r := range cancelled {
+			h.record(h.CallerLeft(h.now, r))
 		}
-		for _, a := range b.started {
-			b.done(a, Unknown)
+		for _, a := range h.started {
+			h.done(a, Unknown)
 		}
-		b.started = nil
+		h.started = nil
 	}
-	for _, t := range b.service("s").targets {
-		is.True(!t.health.Ejected(b.now))
+	for _, t := range h.service("s").targets {
+		is.True(!t.health.Ejected(h.now))
 	}
-	b.arrive("a", time.Minute, true)
-	is.Equal(len(b.started), 1)
+	h.arrive("a", time.Minute, true)
+	is.Equal(len(h.started), 1)
 }
 
-func TestNoMoreThanHalfAreOutliers(t *testing.T) {
-	// Every minion fails what it gets, as when a shared store is down. Half of
-	// them stay in use, so that callers are served when it is back.
+func TestAtMostHalfOfTheMinionsAreEjected(t *testing.T) {
+	// Every minion fails every request, as when a shared backend is down. Half of
+	// them must stay in use, so that requests succeed once it has recovered.
 	is := is.New(t)
-	b := newBench(10, 8)
-	b.learn()
+	h := newHarness(10, 8)
+	h.learnServiceTime()
 	for range 200 {
-		b.now = b.now.Add(500 * time.Millisecond)
-		b.arrive("a", time.Hour, false)
-		for _, a := range b.started {
-			b.done(a, Failed)
+		h.now = h.now.Add(500 * time.Millisecond)
+		h.arrive("a", time.Hour, false)
+		for _, a := range h.started {
+			h.done(a, Failed)
 		}
-		b.started = nil
+		h.started = nil
 		ejected := 0
-		for _, t := range b.service("s").targets {
-			if t.health.Ejected(b.now) {
+		for _, t := range h.service("s").targets {
+			if t.health.Ejected(h.now) {
 				ejected++
 			}
 		}
@@ -126,66 +126,67 @@
 	}
 }
 
-func TestNewIncarnationStartsClean(t *testing.T) {
-	// A minion vanished while it was ejected and came back as a new process.
+func TestNewIncarnationResetsHealth(t *testing.T) {
+	// A minion restarts while it is ejected. The new incarnation must not inherit
+	// the ejection.
 	is := is.New(t)
-	b := newBench(1, 1)
-	b.learn()
+	h := newHarness(1, 1)
+	h.learnServiceTime()
 	for range 5 {
-		b.now = b.now.Add(2 * time.Second)
-		b.arrive("a", time.Hour, false)
-		b.done(b.started[len(b.started)-1], Failed)
-	}
-	before := len(b.started)
-	b.arrive("a", time.Hour, false)
-	is.Equal(len(b.started), before)
-	view := b.view
+		h.now = h.now.Add(2 * time.Second)
+		h.arrive("a", time.Hour, false)
+		h.done(h.started[len(h.started)-1], Failed)
+	}
+	before := len(h.started)
+	h.arrive("a", time.Hour, false)
+	is.Equal(len(h.started), before)
+	view := h.view
 	view.Minions = []Minion{{ID: "m0", Incarnation: 1, Slots: 1, Services: []string{"s"}}}
-	b.note(b.SetView(b.now, view))
-	is.Equal(len(b.started), before+1)
+	h.record(h.SetView(h.now, view))
+	is.Equal(len(h.started), before+1)
 }
 
 func TestHedgeOnlyUrgentIdempotentWithinBudget(t *testing.T) {
-	// An urgent request is late at its minion. A second one gets it if it is
-	// idempotent; the first answer is the caller's and the other is cancelled.
+	// An urgent request is late on its minion. It is sent to a second minion only
+	// if it is idempotent; the first answer wins and the other attempt is cancelled.
 	is := is.New(t)
 	for _, idempotent := range []bool{true, false} {
-		b := newBench(3, 1)
-		b.learn()
-		r := &Request{Customer: "a", Service: "s", Deadline: b.now.Add(time.Minute), Idempotent: idempotent, Urgent: true}
-		b.note(b.Arrive(b.now, r))
-		b.now = b.now.Add(20 * mean)
-		b.note(b.Tick(b.now))
-		is.Equal(len(b.started) == 2, idempotent)
+		h := newHarness(3, 1)
+		h.learnServiceTime()
+		r := &Request{Customer: "a", Service: "s", Deadline: h.now.Add(time.Minute), Idempotent: idempotent, Urgent: true}
+		h.record(h.Arrive(h.now, r))
+		h.now = h.now.Add(20 * mean)
+		h.record(h.Tick(h.now))
+		is.Equal(len(h.started) == 2, idempotent)
 		if idempotent {
-			is.True(b.started[1].Hedge)
-			b.done(b.started[1], Answered)
-			is.Equal(b.results[r].Outcome, Answered)
-			b.done(b.started[0], Unknown) // cancelled: changes nothing
-			is.Equal(b.results[r].Outcome, Answered)
+			is.True(h.started[1].Hedge)
+			h.done(h.started[1], Answered)
+			is.Equal(h.results[r].Outcome, Answered)
+			h.done(h.started[0], Unknown) // the cancelled attempt changes nothing
+			is.Equal(h.results[r].Outcome, Answered)
 		}
 	}
 }
 
 func TestCustomersShareByWeight(t *testing.T) {
-	// Two customers keep their queues full; the one with three times the weight
-	// gets three times the slots, whoever came first.
+	// Two customers keep their queues full. The one with three times the weight
+	// gets three times the slots, regardless of arrival order.
 	is := is.New(t)
-	b := newBench(1, 1)
-	view := b.view
+	h := newHarness(1, 1)
+	view := h.view
 	view.Customers = []Customer{{Name: "small", Weight: 1}, {Name: "large", Weight: 3}}
-	b.note(b.SetView(b.now, view))
+	h.record(h.SetView(h.now, view))
 	for range 40 {
-		b.arrive("small", time.Hour, true)
+		h.arrive("small", time.Hour, true)
 	}
 	for range 40 {
-		b.arrive("large", time.Hour, true)
+		h.arrive("large", time.Hour, true)
 	}
 	for i := range 40 {
-		b.done(b.started[i], Answered)
+		h.done(h.started[i], Answered)
 	}
 	large := 0
-	for _, a := range b.started {
+	for _, a := range h.started {
 		if a.Request.Customer == "large" {
 			large++
 		}
@@ -196,7 +197,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, size := range []int{50, 500} {
 		b.Run(map[int]string{50: "minions=50", 500: "minions=500"}[size], func(b *testing.B) {
-			bench := newBench(size, 8)
+			bench := newHarness(size, 8)
 			s := bench.service("s")
 			for b.Loop() {
 				s.pick(epoch, nil)
@@ -205,9 +206,9 @@
 	}
 }
 
-// BenchmarkRequest is a whole request through the policy: arrival, start, end.
+// BenchmarkRequest measures a complete request: arrival, start and completion.
 func BenchmarkRequest(b *testing.B) {
-	bench := newBench(50, 8)
+	bench := newHarness(50, 8)
 	for b.Loop() {
 		r := &Request{Customer: "a", Service: "s", Deadline: epoch.Add(time.Hour), Idempotent: true}
 		for _, action := range bench.Arrive(epoch, r) {
--- a/internal/coordination/routing/admission/hedge.go
+++ b/internal/coordination/routing/admission/hedge.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// watchForHedge notes when an urgent idempotent request counts as late.
-func (p *Policy) watchForHedge(now time.Time, s *service, r *Request) {
-	if !r.Urgent || !r.Idempotent || r.attempts > 1 || s.learned.samples == 0 {
+// scheduleHedge sets the time after which an urgent idempotent request counts
+// as late and may be hedged.
+func (p *Policy) scheduleHedge(now time.Time, s *service, r *Request) {
+	if !r.Urgent || !r.Idempotent || r.attempts > 1 || s.estimate.samples == 0 {
 		return
 	}
-	r.hedgeAt = now.Add(s.learned.late())
-	s.hedged = append(s.hedged, r)
+	r.hedgeAt = now.Add(s.estimate.lateThreshold())
+	s.hedgeCandidates = append(s.hedgeCandidates, r)
 }
 
-// hedge sends late urgent requests to a second minion. It spends from the
-// customer's retry budget, and only credits that nobody waits for.
+// hedge sends late urgent requests to a second minion. A hedge is charged to
+// the customer's retry budget and uses only credits that no queued request
+// needs.
 func (p *Policy) hedge(now time.Time) {
 	for _, s := range p.services {
-		kept := s.hedged[:0]
-		for _, r := range s.hedged {
+		kept := s.hedgeCandidates[:0]
+		for _, r := range s.hedgeCandidates {
 			if r.ended || r.attempts > 1 {
 				continue
 			}
@@ -26,8 +28,8 @@
 			}
 			p.hedgeOne(now, s, r)
 		}
-		clear(s.hedged[len(kept):])
-		s.hedged = kept
+		clear(s.hedgeCandidates[len(kept):])
+		s.hedgeCandidates = kept
 	}
 }
 
--- a/internal/coordination/routing/admission/loans.go
+++ b/internal/coordination/routing/admission/loans.go
@@ -8,81 +8,89 @@
 )
 
 const (
-	// askHold is how long a lender keeps an ask that it can't meet yet: a credit
-	// that becomes idle meanwhile goes out at once.
-	askHold = 50 * time.Millisecond
-	// openAsks is how many lenders are asked at once. More gains nothing in the
-	// measurements and costs messages.
-	openAsks = 3
-	// askPause is the least time between two asks of one lender, and returnEvery
-	// how often idle borrowed credits go back; both grow with the service time.
-	askPause    = 5 * time.Millisecond
-	returnEvery = 10 * time.Millisecond
-	// paceShare of the usual service time is the pace of loans where that is
-	// longer, maxPace its bound: slow services need no quick loans.
-	paceShare = 0.4
-	maxPace   = 100 * time.Millisecond
-	// repairPause is the wait after an ask that failed.
-	repairPause = 200 * time.Millisecond
-	// maxAsk bounds the credits asked for in one message.
-	maxAsk = 64
+	// holdTimeout is how long a lender holds a borrow request that it cannot grant
+	// yet. A credit that becomes idle in that time is lent at once.
+	holdTimeout = 50 * time.Millisecond
+	// maxOpenRequests is the number of lenders with an outstanding request for
+	// credits. More brought no gain in measurements and cost messages.
+	maxOpenRequests = 3
+	// minRequestInterval is the minimum time between two borrow requests to one
+	// lender, and minReturnInterval the minimum time between two returns of idle
+	// borrowed credits. Both are extended for slow services; see loanInterval.
+	minRequestInterval = 5 * time.Millisecond
+	minReturnInterval  = 10 * time.Millisecond
+	// intervalFraction is the fraction of the mean service time to which these
+	// intervals are extended, and maxInterval the upper limit: slow services do
+	// not need credits to move quickly.
+	intervalFraction = 0.4
+	maxInterval      = 100 * time.Millisecond
+	// failureBackoff is the wait after a failed borrow request.
+	failureBackoff = 200 * time.Millisecond
+	// maxCreditsPerWant limits each count in a borrow request.
+	maxCreditsPerWant = 64
 )
 
-// loans is the traffic of credits between this instance and the others.
+// loans is the state of borrowing and lending between this instance and others.
 type loans struct {
-	boot    int64
-	lenders map[string]*lender
-	// held are the asks of others that wait for an idle credit here, oldest first.
-	held []*heldAsk
-	// heard orders the asks of each borrower.
-	heard      map[string]order
-	nextReturn time.Time
-	// unsure is whether any member is unsure as a lender.
-	unsure bool
+	incarnation int64
+	lenders     map[string]*lender
+	// held are the borrow requests of other instances that wait for an idle credit
+	// here, oldest first.
+	held []*heldRequest
+	// lastRequests is the latest borrow request received from each instance; older
+	// ones are discarded.
+	lastRequests map[string]requestOrder
+	nextReturn   time.Time
+	// uncertain is set while the loans of any lender are uncertain.
+	uncertain bool
 }
 
-// lender is another instance as one to borrow from.
+// lender is another instance in its role as a lender of credits.
 type lender struct {
 	name     string
 	sequence uint64
-	open     bool
-	// wanting is set where the open ask asks for credits.
-	wanting  bool
-	idle     int
-	askAgain time.Time
-	// unsure is set while the lender may count a loan that never came here: its
-	// reply was lost, or an earlier process of this instance had it.
-	unsure bool
+	// pending is set while a borrow request to the lender is outstanding.
+	pending bool
+	// wantsCredits is set if the pending request asks for credits; requests that
+	// only report holdings do not.
+	wantsCredits bool
+	idle         int
+	nextRequest  time.Time
+	// uncertain is set while the lender may count a loan that this process does
+	// not hold: its reply was lost, or the loan was made to an earlier process of
+	// this instance.
+	uncertain bool
 }
 
-type order struct {
-	boot     int64
-	sequence uint64
+type requestOrder struct {
+	incarnation int64
+	sequence    uint64
 }
 
-type heldAsk struct {
+type heldRequest struct {
 	from  string
 	ask   Ask
 	until time.Time
 }
 
-func newLoans(boot int64) loans {
-	return loans{boot: boot, lenders: map[string]*lender{}, heard: map[string]order{}}
+func newLoans(incarnation int64) loans {
+	return loans{incarnation: incarnation, lenders: map[string]*lender{}, lastRequests: map[string]requestOrder{}}
 }
 
 func (l *loans) lender(name string) *lender {
 	found := l.lenders[name]
 	if found == nil {
-		found = &lender{name: name, unsure: true}
+		found = &lender{name: name, uncertain: true}
 		l.lenders[name] = found
 	}
 	return found
 }
 
-// ask sends out asks while requests wait for credits: to the lenders that had
-// most to lend, then to those asked longest ago, one open ask to each. Without
-// the second the same few would be asked again and again.
-func (p *Policy) ask(now time.Time) {
+// requestCredits sends borrow requests while requests wait for credits, with at
+// most one outstanding per lender. Lenders with the most idle credits come first
+// and, among equals, those asked least recently; otherwise the same few lenders
+// would be asked every time.
+func (p *Policy) requestCredits(now time.Time) {
 	if p.view.CutOff {
 		return
 	}
@@ -90,29 +98,30 @@
 	if len(wants) == 0 {
 		return
 	}
-	left := openAsks - p.asking()
+	left := maxOpenRequests - p.pendingWants()
 	if left <= 0 {
 		return
 	}
-	open := p.openLenders(now)
+	open := p.availableLenders(now)
 	for _, l := range open[:min(left, len(open))] {
-		p.sendAsk(now, l, wants)
+		p.sendBorrowRequest(now, l, wants)
 	}
 }
 
-// wants lists what the waiting requests lack.
+// wants lists the credits that queued requests need and resets the counts of
+// requests blocked by a customer limit.
 func (p *Policy) wants() []Want {
 	var wants []Want
 	for _, s := range p.services {
 		if n := s.queue.Len(); n > 0 {
-			wants = append(wants, Want{Service: s.name, Count: min(n, maxAsk)})
+			wants = append(wants, Want{Service: s.name, Count: min(n, maxCreditsPerWant)})
 		}
 	}
 	for name, c := range p.customers {
-		if c.blocked > 0 && c.limit != nil {
-			wants = append(wants, Want{Resource: limitResource(name), Count: min(c.blocked, maxAsk)})
+		if c.limited > 0 && c.limit != nil {
+			wants = append(wants, Want{Resource: limitResource(name), Count: min(c.limited, maxCreditsPerWant)})
 		}
-		c.blocked = 0
+		c.limited = 0
 	}
 	sort.Slice(wants, func(i, j int) bool {
 		return wants[i].Service < wants[j].Service || (wants[i].Service == wants[j].Service && wants[i].Resource < wants[j].Resource)
@@ -120,24 +129,25 @@
 	return wants
 }
 
-// pace is the part of the quickest service's time that loans keep to.
-func (p *Policy) pace() time.Duration {
-	quickest := maxPace
+// loanInterval returns intervalFraction of the mean time of the fastest service,
+// at most maxInterval.
+func (p *Policy) loanInterval() time.Duration {
+	quickest := maxInterval
 	for _, s := range p.services {
-		if s.learned.samples > 0 {
-			quickest = min(quickest, seconds(paceShare*s.learned.mean))
+		if s.estimate.samples > 0 {
+			quickest = min(quickest, seconds(intervalFraction*s.estimate.mean))
 		}
 	}
 	return quickest
 }
 
-func (p *Policy) openLenders(now time.Time) []*lender {
+func (p *Policy) availableLenders(now time.Time) []*lender {
 	var open []*lender
 	for _, name := range p.view.Members {
 		if name == p.config.Self {
 			continue
 		}
-		if l := p.loans.lender(name); !l.open && !now.Before(l.askAgain) {
+		if l := p.loans.lender(name); !l.pending && !now.Before(l.nextRequest) {
 			open = append(open, l)
 		}
 	}
@@ -145,76 +155,77 @@
 		if open[i].idle != open[j].idle {
 			return open[i].idle > open[j].idle
 		}
-		return open[i].askAgain.Before(open[j].askAgain)
+		return open[i].nextRequest.Before(open[j].nextRequest)
 	})
 	return open
 }
 
-// asking counts the lenders that are asked for credits now.
-func (p *Policy) asking() int {
+// pendingWants counts the lenders with an outstanding request for credits.
+func (p *Policy) pendingWants() int {
 	n := 0
 	for _, l := range p.loans.lenders {
-		if l.open && l.wanting {
+		if l.pending && l.wantsCredits {
 			n++
 		}
 	}
 	return n
 }
 
-func (p *Policy) sendAsk(now time.Time, l *lender, wants []Want) {
+func (p *Policy) sendBorrowRequest(now time.Time, l *lender, wants []Want) {
 	l.sequence++
-	l.open = true
-	l.wanting = len(wants) > 0
-	l.askAgain = now.Add(max(askPause, p.pace()))
-	ask := Ask{Boot: p.loans.boot, Sequence: l.sequence, Wants: wants, Holding: p.book.Holding(l.name)}
-	p.do(SendAsk{To: l.name, Ask: ask})
+	l.pending = true
+	l.wantsCredits = len(wants) > 0
+	l.nextRequest = now.Add(max(minRequestInterval, p.loanInterval()))
+	ask := Ask{Incarnation: p.loans.incarnation, Sequence: l.sequence, Wants: wants, Holding: p.ledger.Holding(l.name)}
+	p.emit(SendAsk{To: l.name, Ask: ask})
 }
 
-// Replied takes a lender's reply; ok is false when none came. A reply to an
-// older ask is dropped: the next ask tells the lender that nothing is held.
+// Replied handles a lender's reply; ok is false when none arrived. A reply to an
+// older borrow request is discarded, and the next request tells the lender that
+// the credits are not held.
 func (p *Policy) Replied(now time.Time, from string, reply Reply, ok bool) []Action {
 	l := p.loans.lender(from)
-	if reply.Sequence != l.sequence || !l.open {
+	if reply.Sequence != l.sequence || !l.pending {
 		return nil
 	}
-	l.open = false
+	l.pending = false
 	l.idle = 0
 	if ok {
-		p.book.Meet(from, reply.Owed)
-	}
-	// A reply of a process that has since been replaced lends nothing: its
-	// successor does not know of the loan.
-	ok = ok && reply.Boot >= p.loans.heard[from].boot
-	l.unsure = !ok || p.view.CutOff || !p.book.Borrow(from, reply.Granted)
-	if l.unsure {
-		l.askAgain = now.Add(repairPause)
+		p.ledger.Meet(from, reply.Owed)
+	}
+	// A reply from a lender's process that has since restarted grants nothing: the
+	// new process does not know of the loan.
+	ok = ok && reply.Incarnation >= p.loans.lastRequests[from].incarnation
+	l.uncertain = !ok || p.view.CutOff || !p.ledger.Borrow(from, reply.Granted)
+	if l.uncertain {
+		l.nextRequest = now.Add(failureBackoff)
 	} else {
 		l.idle = reply.Idle
 	}
-	p.noteUnsure()
-	p.pumpAll(now)
-	return p.take()
+	p.updateUncertain()
+	p.dispatchAll(now)
+	return p.takeActions()
 }
 
-// Asked takes another instance's ask. It is answered at once if something can
-// be lent or nothing is wanted, else it is held for a moment.
+// Asked handles another instance's borrow request. It is answered at once if
+// credits can be lent or none are wanted; otherwise it is held for holdTimeout.
 func (p *Policy) Asked(now time.Time, from string, ask Ask) []Action {
-	last := p.loans.heard[from]
-	if ask.Boot < last.boot || (ask.Boot == last.boot && ask.Sequence <= last.sequence) {
+	last := p.loans.lastRequests[from]
+	if ask.Incarnation < last.incarnation || (ask.Incarnation == last.incarnation && ask.Sequence <= last.sequence) {
 		return nil
 	}
-	p.loans.heard[from] = order{boot: ask.Boot, sequence: ask.Sequence}
-	p.dropHeld(from)
-	p.book.SetLent(from, ask.Holding)
-	p.loans.held = append(p.loans.held, &heldAsk{from: from, ask: ask, until: now.Add(askHold)})
-	p.pumpAll(now)
+	p.loans.lastRequests[from] = requestOrder{incarnation: ask.Incarnation, sequence: ask.Sequence}
+	p.discardHeld(from)
+	p.ledger.SetLent(from, ask.Holding)
+	p.loans.held = append(p.loans.held, &heldRequest{from: from, ask: ask, until: now.Add(holdTimeout)})
+	p.dispatchAll(now)
 	if len(ask.Wants) == 0 || p.view.CutOff || !contains(p.view.Members, from) {
 		p.answerHeld(from, nil)
 	}
-	return p.take()
+	return p.takeActions()
 }
 
-func (p *Policy) dropHeld(from string) {
+func (p *Policy) discardHeld(from string) {
 	kept := p.loans.held[:0]
 	for _, held := range p.loans.held {
 		if held.from != from {
@@ -227,24 +238,24 @@
 func (p *Policy) answerHeld(from string, granted []credit.Amount) {
 	for _, held := range p.loans.held {
 		if held.from == from {
-			p.do(SendReply{To: from, Reply: Reply{
-				Boot:     p.loans.boot,
-				Sequence: held.ask.Sequence,
-				Granted:  granted,
-				Owed:     p.book.Holding(from),
-				Idle:     p.idle(),
+			p.emit(SendReply{To: from, Reply: Reply{
+				Incarnation: p.loans.incarnation,
+				Sequence:    held.ask.Sequence,
+				Granted:     granted,
+				Owed:        p.ledger.Holding(from),
+				Idle:        p.idle(),
 			}})
 		}
 	}
-	p.dropHeld(from)
+	p.discardHeld(from)
 }
 
-// serveHeld lends idle credits to the instances that asked, oldest ask first.
-func (p *Policy) serveHeld(now time.Time) {
+// grantHeld lends idle credits to the held borrow requests, oldest first.
+func (p *Policy) grantHeld(now time.Time) {
 	if p.view.CutOff {
 		return
 	}
-	for _, held := range append([]*heldAsk(nil), p.loans.held...) {
+	for _, held := range append([]*heldRequest(nil), p.loans.held...) {
 		var granted []credit.Amount
 		for _, want := range held.ask.Wants {
 			granted = append(granted, p.grant(now, held.from, want)...)
@@ -255,11 +266,11 @@
 	}
 }
 
-// grant lends half of what is idle, so that the next request here need not
-// borrow it back.
+// grant lends up to half of the idle credits, so that the next request on this
+// instance need not borrow them back.
 func (p *Policy) grant(now time.Time, to string, want Want) []credit.Amount {
 	if want.Resource != "" {
-		return p.grantOn(to, want.Resource, min(want.Count, half(p.lendable(want.Resource))))
+		return p.lend(to, want.Resource, min(want.Count, half(p.lendable(want.Resource))))
 	}
 	s := p.services[want.Service]
 	if s == nil || s.queue.Len() > 0 {
@@ -275,7 +286,7 @@
 		if !t.health.Allows(now, t.account.InUse()) {
 			continue
 		}
-		one := p.grantOn(to, resourceOf(&t.minion), 1)
+		one := p.lend(to, minionResource(&t.minion), 1)
 		left -= len(one)
 		granted = append(granted, one...)
 	}
@@ -285,7 +296,7 @@
 func half(n int) int { return (n + 1) / 2 }
 
 func (p *Policy) lendable(resource string) int {
-	if a := p.book.Account(resource); a != nil {
+	if a := p.ledger.Account(resource); a != nil {
 		return a.Lendable()
 	}
 	return 0
@@ -301,15 +312,15 @@
 	return total
 }
 
-func (p *Policy) grantOn(to, resource string, count int) []credit.Amount {
-	given := p.book.Lend(to, resource, count)
+func (p *Policy) lend(to, resource string, count int) []credit.Amount {
+	given := p.ledger.Lend(to, resource, count)
 	if given == 0 {
 		return nil
 	}
 	return []credit.Amount{{Resource: resource, Count: given}}
 }
 
-// idle is what this instance could lend now.
+// idle returns the number of minion credits that this instance could lend now.
 func (p *Policy) idle() int {
 	total := 0
 	for _, t := range p.targets {
@@ -318,66 +329,67 @@
 	return total
 }
 
-// Tick does what is due by time.
+// Tick handles everything that is due at now: held borrow requests that timed
+// out, hedges, the sweep of queued requests and the return of idle loans.
 func (p *Policy) Tick(now time.Time) []Action {
-	for _, held := range append([]*heldAsk(nil), p.loans.held...) {
+	for _, held := range append([]*heldRequest(nil), p.loans.held...) {
 		if !now.Before(held.until) {
 			p.answerHeld(held.from, nil)
 		}
 	}
 	p.hedge(now)
-	p.pumpAll(now)
+	p.dispatchAll(now)
 	if !now.Before(p.nextSweep) {
 		p.sweep(now)
 	}
-	p.giveBack(now)
-	return p.take()
+	p.returnIdle(now)
+	return p.takeActions()
 }
 
-// giveBack returns borrowed credits that are idle, and puts right what a lost
-// reply left unsure.
-func (p *Policy) giveBack(now time.Time) {
-	if now.Before(p.loans.nextReturn) || p.view.CutOff || (p.book.Borrowed() == 0 && !p.loans.unsure) {
+// returnIdle returns idle borrowed credits, and reports holdings to the lenders
+// whose loans are uncertain.
+func (p *Policy) returnIdle(now time.Time) {
+	if now.Before(p.loans.nextReturn) || p.view.CutOff || (p.ledger.Borrowed() == 0 && !p.loans.uncertain) {
 		return
 	}
-	p.loans.nextReturn = now.Add(max(returnEvery, p.pace()))
-	for _, l := range p.openLenders(now) {
-		if p.returnTo(l.name) || l.unsure {
-			p.sendAsk(now, l, nil)
+	p.loans.nextReturn = now.Add(max(minReturnInterval, p.loanInterval()))
+	for _, l := range p.availableLenders(now) {
+		if p.returnTo(l.name) || l.uncertain {
+			p.sendBorrowRequest(now, l, nil)
 		}
 	}
 }
 
 func (p *Policy) returnTo(name string) bool {
 	returned := false
-	for _, amount := range p.book.Holding(name) {
-		if p.book.GiveBack(name, amount.Resource, amount.Count) > 0 {
+	for _, amount := range p.ledger.Holding(name) {
+		if p.ledger.ReturnLoan(name, amount.Resource, amount.Count) > 0 {
 			returned = true
 		}
 	}
 	return returned
 }
 
-// Busy tells whether anything here waits for time to pass; a policy that is
-// not busy needs no tick.
+// Busy reports whether anything depends on the passage of time. A policy that
+// is not busy needs no Tick.
 func (p *Policy) Busy() bool {
-	if len(p.loans.held) > 0 || p.book.Borrowed() > 0 || p.loans.unsure {
+	if len(p.loans.held) > 0 || p.ledger.Borrowed() > 0 || p.loans.uncertain {
 		return true
 	}
 	for _, s := range p.services {
-		if s.queue.Len() > 0 || len(s.hedged) > 0 {
+		if s.queue.Len() > 0 || len(s.hedgeCandidates) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// noteUnsure looks whether some lender's count of loans is in doubt.
-func (p *Policy) noteUnsure() {
-	p.loans.unsure = false
+// updateUncertain recomputes whether the loans of any lender are uncertain.
+func (p *Policy) updateUncertain() {
+	p.loans.uncertain = false
 	for _, name := range p.view.Members {
-		if name != p.config.Self && p.loans.lender(name).unsure {
-			p.loans.unsure = true
+		if name != p.config.Self && p.loans.lender(name).uncertain {
+			p.loans.uncertain = true
 		}
 	}
 }
--- a/internal/coordination/routing/admission/pick.go
+++ b/internal/coordination/routing/admission/pick.go
@@ -6,8 +6,8 @@
 	"pinewinch.example/pinewinch/internal/coordination/routing/fairqueue"
 )
 
-// pump starts waiting requests while credits are free.
-func (p *Policy) pump(now time.Time, s *service) {
+// dispatch starts queued requests of a service while credits are free.
+func (p *Policy) dispatch(now time.Time, s *service) {
 	for s.queue.Len() > 0 && !p.view.CutOff {
 		var chosen *target
 		exhausted := false
@@ -15,12 +15,12 @@
 			if exhausted {
 				return false
 			}
-			if chosen = nil; s.tooLate(now, item.Value) {
+			if chosen = nil; s.cannotMeetDeadline(now, item.Value) {
 				return true
 			}
 			c := p.customer(item.Customer)
 			if c.limit != nil && c.limit.Free() <= 0 {
-				c.blocked++
+				c.limited++
 				return false
 			}
 			chosen = s.pick(now, item.Value.tried)
@@ -31,23 +31,24 @@
 			return
 		}
 		if chosen == nil {
-			p.giveUp(item.Value, Refusal{Reason: ReasonDeadline, RetryAfter: max(s.learned.likely(), minRetryAfter)})
+			p.endWaiting(item.Value, Refusal{Reason: ReasonDeadline, RetryAfter: max(s.estimate.expected(), minRetryAfter)})
 			continue
 		}
 		p.start(now, s, item.Value, chosen)
 	}
 }
 
-func (p *Policy) pumpAll(now time.Time) {
+func (p *Policy) dispatchAll(now time.Time) {
 	for _, s := range p.services {
-		p.pump(now, s)
+		p.dispatch(now, s)
 	}
-	p.serveHeld(now)
-	p.ask(now)
+	p.grantHeld(now)
+	p.requestCredits(now)
 }
 
-// Classes of service time: within a class the load alone decides, so that
-// noise in what was learned does not herd requests to one minion.
+// Upper bounds of the latency classes, as multiples of the usual service time.
+// Within a class only the load decides, so that noise in the estimates does not
+// concentrate requests on one minion.
 const (
 	usualRatio = 1.5
 	slowRatio  = 3
@@ -63,8 +64,9 @@
 	return 2
 }
 
-// pick finds a minion with a free credit: the fastest class first, in it the
-// one with the fewest requests of this instance; nil when there is none.
+// pick returns a minion with a free credit that the request has not tried: one
+// of the fastest latency class, and in it the one with the fewest requests in
+// flight from this instance. It returns nil if there is none.
 func (s *service) pick(now time.Time, tried []string) *target {
 	var best *target
 	bestClass, bestLoad := 0, 0
@@ -101,7 +103,7 @@
 	r.tried = append(r.tried, t.minion.ID)
 	a := &Attempt{Request: r, Minion: t.minion, Number: r.attempts, started: now, target: t, limit: c.limit}
 	r.inFlight = append(r.inFlight, a)
-	p.watchForHedge(now, s, r)
-	p.do(Start{Attempt: a})
+	p.scheduleHedge(now, s, r)
+	p.emit(Start{Attempt: a})
 	return a
 }
--- a/internal/coordination/routing/admission/policy.go
+++ b/internal/coordination/routing/admission/policy.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// maxAttempts caps the attempts of one request, hedges included.
+	// maxAttempts is the maximum number of attempts of a request, hedges included.
 	maxAttempts = 3
-	// noMinionRetry is what a caller is told when nothing serves a service.
+	// noMinionRetry is the RetryAfter of a request that no minion can serve.
 	noMinionRetry = time.Second
-	// minRetryAfter keeps refused callers from coming back in a tight loop.
+	// minRetryAfter keeps refused callers from retrying in a tight loop.
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Policy is one instance's decisions about requests.
+// Policy decides about the requests of one instance. It is not safe for
+// concurrent use.
 type Policy struct {
 	config    Config
-	book      *credit.Book
+	ledger    *credit.Ledger
 	view      View
 	targets   map[string]*target
 	services  map[string]*service
@@ -32,22 +33,22 @@
 	actions   []Action
 }
 
-// target is one incarnation of a minion.
+// target is one incarnation of a minion with its credits and health.
 type target struct {
 	minion  Minion
 	account *credit.Account
 	health  *health.State
 }
 
-// service is one kind of request: what serves it and what waits for it.
+// service holds the minions that serve one service and its queued requests.
 type service struct {
-	name    string
-	targets []*target
-	queue   *fairqueue.Queue[*Request]
-	learned learned
-	next    int
-	// hedged are the urgent requests in flight that may get a second attempt.
-	hedged []*Request
+	name     string
+	targets  []*target
+	queue    *fairqueue.Queue[*Request]
+	estimate serviceTime
+	next     int
+	// hedgeCandidates are the urgent requests in flight that may be hedged.
+	hedgeCandidates []*Request
 }
 
 type customer struct {
@@ -55,57 +56,60 @@
 	limit  *credit.Account
 	budget budget
 	rate   rateShare
-	// blocked counts the requests that wait for a credit on the limit.
-	blocked int
+	// limited counts the queued requests held back by the customer's limit.
+	limited int
 }
 
-// New makes a policy that knows of no minion yet.
-func New(config Config, boot int64) *Policy {
+// New returns a policy without minions. incarnation identifies this process in
+// borrow requests and replies; it must be greater than that of any earlier
+// process of the instance.
+func New(config Config, incarnation int64) *Policy {
 	return &Policy{
 		config:    config,
-		book:      credit.NewBook(config.Self),
+		ledger:    credit.NewLedger(config.Self),
 		targets:   map[string]*target{},
 		services:  map[string]*service{},
 		customers: map[string]*customer{},
-		loans:     newLoans(boot),
+		loans:     newLoans(incarnation),
 		demands:   demands{},
 	}
 }
 
-// Book gives the credits, for reports.
-func (p *Policy) Book() *credit.Book { return p.book }
+// Book returns the ledger of this instance's credits.
+func (p *Policy) Book() *credit.Ledger { return p.ledger }
 
-func resourceOf(m *Minion) string { return m.ID + "#" + strconv.FormatInt(m.Incarnation, 10) }
+func minionResource(m *Minion) string { return m.ID + "#" + strconv.FormatInt(m.Incarnation, 10) }
 
 func limitResource(customer string) string { return "customer/" + customer }
 
-// SetView takes what is known of the system now.
+// SetView replaces the view of the system. Queued requests that can no longer be
+// served are refused at once.
 func (p *Policy) SetView(now time.Time, view View) []Action {
 	p.view = view
-	p.book.SetMembers(view.Epoch, view.Members, view.Departed)
+	p.ledger.SetMembers(view.Epoch, view.Members, view.Departed)
 	resources := make([]credit.Resource, 0, len(view.Minions)+len(view.Customers))
 	for i := range view.Minions {
-		resources = append(resources, credit.Resource{ID: resourceOf(&view.Minions[i]), Slots: view.Minions[i].Slots})
+		resources = append(resources, credit.Resource{ID: minionResource(&view.Minions[i]), Slots: view.Minions[i].Slots})
 	}
 	for _, c := range view.Customers {
 		if c.MaxRequests > 0 {
 			resources = append(resources, credit.Resource{ID: limitResource(c.Name), Slots: c.MaxRequests})
 		}
 	}
-	p.book.SetResources(resources)
+	p.ledger.SetResources(resources)
 	p.setTargets(view.Minions)
 	p.setCustomers(view.Customers)
 	if view.CutOff {
-		p.book.DropLoans()
+		p.ledger.DropLoans()
 	}
-	p.noteUnsure()
-	p.pumpAll(now)
+	p.updateUncertain()
+	p.dispatchAll(now)
 	p.sweep(now)
-	return p.take()
+	return p.takeActions()
 }
 
-// setTargets keeps what is known of the minions that stay; one that came back
-// under a new incarnation starts clean.
+// setTargets replaces the set of minions and keeps the health of those that
+// remain. A minion with a new incarnation starts with no health history.
 func (p *Policy) setTargets(minions []Minion) {
 	old := p.targets
 	p.targets = make(map[string]*target, len(minions))
@@ -113,13 +117,13 @@
 		s.targets = nil
 	}
 	for i := range minions {
-		id := resourceOf(&minions[i])
+		id := minionResource(&minions[i])
 		t := old[id]
 		if t == nil {
 			t = &target{health: health.New()}
 		}
 		t.minion = minions[i]
-		t.account = p.book.Account(id)
+		t.account = p.ledger.Account(id)
 		p.targets[id] = t
 		for _, name := range t.minion.Services {
 			s := p.service(name)
@@ -132,7 +136,7 @@
 	for _, rules := range customers {
 		c := p.customer(rules.Name)
 		c.rules = rules
-		c.limit = p.book.Account(limitResource(rules.Name))
+		c.limit = p.ledger.Account(limitResource(rules.Name))
 		c.rate.share = p.rateShare(rules.Name)
 	}
 }
@@ -155,36 +159,36 @@
 	return c
 }
 
-// take hands out the actions collected during one event.
-func (p *Policy) take() []Action {
+// takeActions returns the actions collected during one event and clears them.
+func (p *Policy) takeActions() []Action {
 	actions := p.actions
 	p.actions = nil
 	return actions
 }
 
-func (p *Policy) do(action Action) { p.actions = append(p.actions, action) }
+func (p *Policy) emit(action Action) { p.actions = append(p.actions, action) }
 
-// Arrive takes a new request: it starts, waits or is refused at once.
+// Arrive handles a new request: it is started, queued or refused at once.
 func (p *Policy) Arrive(now time.Time, r *Request) []Action {
 	s := p.service(r.Service)
 	c := p.customer(r.Customer)
 	if p.view.CutOff {
 		p.refuse(r, Refusal{Reason: ReasonCutOff, RetryAfter: noMinionRetry})
-		return p.take()
+		return p.takeActions()
 	}
 	if len(s.targets) == 0 {
 		p.refuse(r, Refusal{Reason: ReasonNoMinion, RetryAfter: noMinionRetry})
-		return p.take()
+		return p.takeActions()
 	}
 	if wait, ok := c.rate.take(now, c.rules.Rate); !ok {
 		p.refuse(r, Refusal{Reason: ReasonRate, RetryAfter: max(wait, minRetryAfter)})
-		return p.take()
+		return p.takeActions()
 	}
 	p.enqueue(s, c, r)
-	p.pump(now, s)
+	p.dispatch(now, s)
 	p.refuseUnmeetable(now, s, r)
-	p.ask(now)
-	return p.take()
+	p.requestCredits(now)
+	return p.takeActions()
 }
 
 func (p *Policy) enqueue(s *service, c *customer, r *Request) {
@@ -204,18 +208,18 @@
 		reason = ReasonQueueFull
 	}
 	wait, _ := p.wait(s, displaced)
-	p.giveUp(displaced.Value, Refusal{Reason: reason, RetryAfter: max(wait, minRetryAfter)})
+	p.endWaiting(displaced.Value, Refusal{Reason: reason, RetryAfter: max(wait, minRetryAfter)})
 }
 
-// refuse ends a request that was never sent.
+// refuse ends a request that was never run.
 func (p *Policy) refuse(r *Request, refusal Refusal) {
 	r.ended = true
-	p.do(Refuse{Request: r, Refusal: refusal})
+	p.emit(Refuse{Request: r, Refusal: refusal})
 }
 
-// giveUp ends a waiting request: one that was tried before gets the result of
-// its last attempt.
-func (p *Policy) giveUp(r *Request, refusal Refusal) {
+// endWaiting ends a queued request. If its last attempt may have run, it ends
+// with the result of that attempt, else it is refused.
+func (p *Policy) endWaiting(r *Request, refusal Refusal) {
 	if r.ended || len(r.inFlight) > 0 {
 		return
 	}
@@ -229,34 +233,34 @@
 func (p *Policy) finish(r *Request, result Result) {
 	r.ended = true
 	for _, other := range r.inFlight {
-		p.do(Cancel{Attempt: other})
+		p.emit(Cancel{Attempt: other})
 	}
-	p.do(Finish{Request: r, Result: result})
+	p.emit(Finish{Request: r, Result: result})
 }
 
-// Leave notes that a request's caller has gone or that its time is up. One that
-// waits ends at once; one in flight gets no other attempt, and ends with the
-// outcome of the one it has.
-func (p *Policy) Leave(now time.Time, r *Request) []Action {
+// CallerLeft handles a caller that cancelled its request or whose deadline has
+// passed. A queued request ends at once. A request in flight gets no further
+// attempt and ends with the outcome of the current one.
+func (p *Policy) CallerLeft(now time.Time, r *Request) []Action {
 	if r.ended {
 		return nil
 	}
-	r.gone = true
+	r.callerLeft = true
 	if len(r.inFlight) == 0 {
 		p.service(r.Service).queue.Remove(&r.item)
-		p.giveUp(r, Refusal{Reason: ReasonLeft})
+		p.endWaiting(r, Refusal{Reason: ReasonCallerLeft})
 	}
-	return p.take()
+	return p.takeActions()
 }
 
-// Done takes the outcome of an attempt; its credit is free again.
+// Done handles the outcome of an attempt and releases its credits.
 func (p *Policy) Done(now time.Time, a *Attempt, result Result) []Action {
 	r := a.Request
 	s := p.service(r.Service)
 	c := p.customer(r.Customer)
 	p.release(a)
-	p.judge(now, s, a, result)
-	r.inFlight = without(r.inFlight, a)
+	p.recordOutcome(now, s, a, result)
+	r.inFlight = removeAttempt(r.inFlight, a)
 	switch {
 	case r.ended:
 	case result.Outcome == Answered:
@@ -266,47 +270,48 @@
 		r.last = result
 		p.retry(now, s, c, r)
 	}
-	p.pump(now, s)
-	p.serveHeld(now)
-	p.ask(now)
-	return p.take()
+	p.dispatch(now, s)
+	p.grantHeld(now)
+	p.requestCredits(now)
+	return p.takeActions()
 }
 
 func (p *Policy) release(a *Attempt) {
-	p.book.Release(a.target.account)
+	p.ledger.Release(a.target.account)
 	if a.limit != nil {
-		p.book.Release(a.limit)
+		p.ledger.Release(a.limit)
 	}
 	if p.view.CutOff {
-		p.book.DropLoans()
+		p.ledger.DropLoans()
 	}
 }
 
-// judge lets the minion's standing and the learned service time follow the
-// outcome. Only answers teach: a quick failure must not look like a quick
-// minion. A caller that hangs up says nothing of the minion but that it was not
-// quicker: a wave of cancellations must not make outliers of all minions. A
-// deadline that passes later than an answer is due counts as failed, or a minion
-// that hangs would look healthy.
-func (p *Policy) judge(now time.Time, s *service, a *Attempt, result Result) {
+// recordOutcome updates the minion's health and the estimated service time. Only
+// answers count towards the service time, so that a minion that fails fast does
+// not look fast. A cancelled attempt only shows that the minion took at least
+// that long; counting it as a failure would let a burst of cancellations eject
+// every minion. An attempt whose deadline passes when it is already late counts
+// as failed, as otherwise a minion that hangs would look healthy.
+func (p *Policy) recordOutcome(now time.Time, s *service, a *Attempt, result Result) {
 	took := now.Sub(a.started)
 	h := a.target.health
-	over := a.Request.ended || a.Request.gone
+	over := a.Request.ended || a.Request.callerLeft
 	switch {
 	case result.Outcome == Answered:
-		h.Answered(s.learned.ratio(took), a.Minion.Slots)
-		s.learned.add(took)
+		h.Answered(s.estimate.ratio(took), a.Minion.Slots)
+		s.estimate.observe(took)
 	case result.Outcome == Refused:
 		h.Refused(now, a.target.account.InUse())
-	case over && (now.Before(a.Request.Deadline) || took <= s.learned.late()):
-		h.Abandoned(s.learned.ratio(took))
+	case over && (now.Before(a.Request.Deadline) || took <= s.estimate.lateThreshold()):
+		h.Abandoned(s.estimate.ratio(took))
 	default:
-		h.Failed(now, s.learned.usual(), s.mayEject(now))
+		h.Failed(now, s.estimate.typical(), s.mayEject(now))
 	}
 }
 
-// mayEject bounds the outliers to half of a service's minions: where more fail,
-// the fault lies elsewhere, and without them nothing could be served.
+// mayEject limits ejected outliers to half of a service's minions. If more fail,
+// the cause is likely elsewhere, and ejecting them all would leave nothing to
+// serve requests.
 func (s *service) mayEject(now time.Time) bool {
 	ejected := 0
 	for _, t := range s.targets {
@@ -317,14 +322,14 @@
 	return ejected < (len(s.targets)+1)/2
 }
 
-// retry sends a request again where that is safe: it surely did not run, or
-// is idempotent. Budget and attempts are bounded, so that a failing service
-// is not buried under retries.
+// retry queues a request again if that is safe: it certainly did not run, or it
+// is idempotent. The retry budget and the number of attempts are limited, so
+// that retries do not overload a failing service.
 func (p *Policy) retry(now time.Time, s *service, c *customer, r *Request) {
 	if len(r.inFlight) > 0 {
 		return
 	}
-	if r.gone || r.last.Final {
+	if r.callerLeft || r.last.Final {
 		p.finish(r, r.last)
 		return
 	}
@@ -333,15 +338,16 @@
 		p.finish(r, r.last)
 		return
 	}
-	if !p.untried(s, r) {
+	if !p.hasUntried(s, r) {
 		r.tried = nil
 	}
 	p.enqueue(s, c, r)
 	p.refuseUnmeetable(now, s, r)
 }
 
-// untried tells whether a minion is left that this request has not been at.
-func (p *Policy) untried(s *service, r *Request) bool {
+// hasUntried reports whether the service has a minion that the request has not
+// tried.
+func (p *Policy) hasUntried(s *service, r *Request) bool {
 	for _, t := range s.targets {
 		if !contains(r.tried, t.minion.ID) {
 			return true
@@ -350,7 +356,7 @@
 	return false
 }
 
-func without(attempts []*Attempt, a *Attempt) []*Attempt {
+func removeAttempt(attempts []*Attempt, a *Attempt) []*Attempt {
 	for i, other := range attempts {
 		if other == a {
 			return append(attempts[:i], attempts[i+1:]...)
--- a/internal/coordination/routing/admission/policy_test.go
+++ b/internal/coordination/routing/admission/policy_test.go
@@ -12,8 +12,8 @@
 
 var epoch = time.Date(2026, 12, 1, 9, 0, 0, 0, time.UTC)
 
-// bench drives one policy by hand.
-type bench struct {
+// harness drives one policy and records its actions.
+type harness struct {
 	*Policy
 	now     time.Time
 	started []*Attempt
@@ -23,8 +23,8 @@
 	replies []SendReply
 }
 
-func newBench(minions, slots int) *bench {
-	b := &bench{
+func newHarness(minions, slots int) *harness {
+	h := &harness{
 		Policy:  New(Config{Self: "a", QueueLength: 100}, 1),
 		now:     epoch,
 		refused: map[*Request]Refusal{},
@@ -34,50 +34,50 @@
 	for i := range minions {
 		view.Minions = append(view.Minions, Minion{ID: fmt.Sprintf("m%d", i), Slots: slots, Services: []string{"s"}})
 	}
-	b.note(b.SetView(b.now, view))
-	return b
+	h.record(h.SetView(h.now, view))
+	return h
 }
 
-func (b *bench) note(actions []Action) {
+func (h *harness) record(actions []Action) {
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Start:
-			b.started = append(b.started, a.Attempt)
+			h.started = append(h.started, a.Attempt)
 		case Refuse:
-			b.refused[a.Request] = a.Refusal
+			h.refused[a.Request] = a.Refusal
 		case Finish:
-			b.results[a.Request] = a.Result
+			h.results[a.Request] = a.Result
 		case SendAsk:
-			b.asks = append(b.asks, a)
+			h.asks = append(h.asks, a)
 		case SendReply:
-			b.replies = append(b.replies, a)
+			h.replies = append(h.replies, a)
 		}
 	}
 }
 
-func (b *bench) arrive(customer string, within time.Duration, idempotent bool) *Request {
-	r := &Request{Customer: customer, Service: "s", Deadline: b.now.Add(within), Idempotent: idempotent}
-	b.note(b.Arrive(b.now, r))
+func (h *harness) arrive(customer string, within time.Duration, idempotent bool) *Request {
+	r := &Request{Customer: customer, Service: "s", Deadline: h.now.Add(within), Idempotent: idempotent}
+	h.record(h.Arrive(h.now, r))
 	return r
 }
 
-func (b *bench) done(a *Attempt, outcome Outcome) {
-	b.note(b.Done(b.now, a, Result{Outcome: outcome}))
+func (h *harness) done(a *Attempt, outcome Outcome) {
+	h.record(h.Done(h.now, a, Result{Outcome: outcome}))
 }
 
-// learn teaches the usual service time.
-func (b *bench) learn() {
-	b.arrive("a", time.Minute, true)
-	last := b.started[len(b.started)-1]
-	b.now = b.now.Add(mean)
-	b.done(last, Answered)
-	b.started = nil
+// learnServiceTime completes one request that takes mean.
+func (h *harness) learnServiceTime() {
+	h.arrive("a", time.Minute, true)
+	last := h.started[len(h.started)-1]
+	h.now = h.now.Add(mean)
+	h.done(last, Answered)
+	h.started = nil
 }
 
 func TestRetryOnlyWhatIsSafe(t *testing.T) {
-	// The caller's request fails at its first minion. Sending it again is safe
-	// only if it did not run, or may run twice; otherwise the caller gets the
-	// outcome as it is, and no second minion ever sees the request.
+	// A request fails on its first minion. It may be retried only if it did not run
+	// or is idempotent; otherwise the caller gets the outcome and no second minion
+	// receives the request.
 	cases := []struct {
 		name       string
 		outcome    Outcome
@@ -94,108 +94,107 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			b := newBench(2, 1)
-			r := b.arrive("a", time.Minute, c.idempotent)
-			b.done(b.started[0], c.outcome)
-			is.Equal(len(b.started) == 2, c.again)
+			h := newHarness(2, 1)
+			r := h.arrive("a", time.Minute, c.idempotent)
+			h.done(h.started[0], c.outcome)
+			is.Equal(len(h.started) == 2, c.again)
 			if c.again {
-				is.True(b.started[0].Minion.ID != b.started[1].Minion.ID) // another minion
+				is.True(h.started[0].Minion.ID != h.started[1].Minion.ID) // another minion
 				return
 			}
-			is.Equal(b.results[r].Outcome, c.outcome)
+			is.Equal(h.results[r].Outcome, c.outcome)
 		})
 	}
 }
 
 func TestAttemptsAndBudgetBoundRetries(t *testing.T) {
-	// Every minion fails everything. Callers send again through the instance;
-	// without bounds each request would become several and bury the service.
+	// Every minion fails every request. Without limits, retries would multiply the
+	// load on the failing service.
 	is := is.New(t)
-	b := newBench(40, 8)
+	h := newHarness(40, 8)
 	const requests = 100
 	failed := 0
 	for range requests {
-		r := b.arrive("a", time.Hour, true)
+		r := h.arrive("a", time.Hour, true)
 		for !r.ended {
-			b.now = b.now.Add(time.Minute)
-			b.note(b.Tick(b.now))
-			for ; failed < len(b.started); failed++ {
-				b.done(b.started[failed], Failed)
+			h.now = h.now.Add(time.Minute)
+			h.record(h.Tick(h.now))
+			for ; failed < len(h.started); failed++ {
+				h.done(h.started[failed], Failed)
 			}
 		}
 		is.True(r.attempts <= maxAttempts)
 	}
-	is.True(len(b.started) <= requests+maxBudget) // retries only from the budget
+	is.True(len(h.started) <= requests+maxBudget) // retries only from the budget
 }
 
 func TestRefusedAtOnceWhenTheDeadlineCannotBeMet(t *testing.T) {
-	// One slot, taken, and a queue of three. A caller whose deadline is nearer
-	// than the end of the running request plus its own time gets its refusal in
-	// the same event, with the time after which it would have a chance.
+	// The only slot is taken and three requests are queued. A request whose deadline
+	// is too close to be served is refused in the same event, with a RetryAfter.
 	is := is.New(t)
-	b := newBench(1, 1)
-	b.learn()
+	h := newHarness(1, 1)
+	h.learnServiceTime()
 	for range 4 {
-		b.arrive("a", time.Minute, true)
+		h.arrive("a", time.Minute, true)
 	}
-	patient := b.arrive("a", 10*mean, true)
-	hasty := b.arrive("a", 3*mean/2, true)
-	_, waits := b.refused[patient]
+	longDeadline := h.arrive("a", 10*mean, true)
+	shortDeadline := h.arrive("a", 3*mean/2, true)
+	_, waits := h.refused[longDeadline]
 	is.True(!waits)
-	refusal, gone := b.refused[hasty]
+	refusal, gone := h.refused[shortDeadline]
 	is.True(gone)
 	is.Equal(refusal.Reason, ReasonDeadline)
 	is.True(refusal.RetryAfter > 0)
 }
 
 func TestGivenUpAtOnceNotAtTheDeadline(t *testing.T) {
-	// A request waits with a minute to go; then most minions vanish, and what is
-	// left could not reach it in hours. Its caller must hear so now, not a
-	// minute later: the answer is due with the event that took its chance away.
+	// Requests are queued with deadlines up to 99 s away when all minions disappear.
+	// They must be refused in the event that makes them unservable, not at their
+	// deadlines.
 	is := is.New(t)
-	b := newBench(10, 8)
-	b.learn()
+	h := newHarness(10, 8)
+	h.learnServiceTime()
 	for range 1000 {
-		b.arrive(fmt.Sprintf("c%d", len(b.started)%20), time.Minute, true)
+		h.arrive(fmt.Sprintf("c%d", len(h.started)%20), time.Minute, true)
 	}
 	var waiting []*Request
 	for i := range 90 {
-		waiting = append(waiting, b.arrive("a", time.Duration(10+i)*time.Second, true))
+		waiting = append(waiting, h.arrive("a", time.Duration(10+i)*time.Second, true))
 	}
-	b.note(b.SetView(b.now, View{Epoch: 1, Members: []string{"a"}}))
+	h.record(h.SetView(h.now, View{Epoch: 1, Members: []string{"a"}}))
 	for _, r := range waiting {
-		refusal, gone := b.refused[r]
+		refusal, gone := h.refused[r]
 		is.True(gone)
 		is.Equal(refusal.Reason, ReasonNoMinion)
 	}
 }
 
-func TestCallerThatLeavesTheQueueIsDoneAtOnce(t *testing.T) {
-	// A caller goes away while its request waits, with an hour to its deadline.
-	// The request ends as not run and never starts when the slot is free.
+func TestQueuedRequestEndsWhenItsCallerLeaves(t *testing.T) {
+	// A caller cancels while its request is queued, an hour before its deadline.
+	// The request is refused as not run and does not start when the slot is free.
 	is := is.New(t)
-	b := newBench(1, 1)
-	b.learn()
-	b.arrive("a", time.Hour, false)
-	gone := b.arrive("a", time.Hour, false)
-	b.note(b.Leave(b.now, gone))
-	is.Equal(b.refused[gone].Reason, ReasonLeft)
-	b.done(b.started[0], Answered)
-	is.Equal(len(b.started), 1)
+	h := newHarness(1, 1)
+	h.learnServiceTime()
+	h.arrive("a", time.Hour, false)
+	gone := h.arrive("a", time.Hour, false)
+	h.record(h.CallerLeft(h.now, gone))
+	is.Equal(h.refused[gone].Reason, ReasonCallerLeft)
+	h.done(h.started[0], Answered)
+	is.Equal(len(h.started), 1)
 }
 
-func TestRequestThatWaitedTooLongTakesNoSlot(t *testing.T) {
-	// A slot is free at last, but the first caller in the queue has less time left
-	// than an answer takes. Starting it would waste the slot on an answer that
-	// comes too late: it is refused, and the next caller gets the slot.
+func TestLateQueuedRequestTakesNoSlot(t *testing.T) {
+	// A slot becomes free when the first queued request has less time left than an
+	// answer takes. Starting it would waste the slot, so it is refused and the next
+	// request gets the slot.
 	is := is.New(t)
-	b := newBench(1, 1)
-	b.learn()
-	b.arrive("a", time.Hour, false)
-	hasty := b.arrive("a", 6*mean, false)
-	patient := b.arrive("a", time.Hour, false)
-	b.now = b.now.Add(5*mean + mean/2)
-	b.done(b.started[0], Answered)
-	is.Equal(b.refused[hasty].Reason, ReasonDeadline)
-	is.Equal(b.started[1].Request, patient)
+	h := newHarness(1, 1)
+	h.learnServiceTime()
+	h.arrive("a", time.Hour, false)
+	shortDeadline := h.arrive("a", 6*mean, false)
+	longDeadline := h.arrive("a", time.Hour, false)
+	h.now = h.now.Add(5*mean + mean/2)
+	h.done(h.started[0], Answered)
+	is.Equal(h.refused[shortDeadline].Reason, ReasonDeadline)
+	is.Equal(h.started[1].Request, longDeadline)
 }
--- a/internal/coordination/routing/admission/types.go
+++ b/internal/coordination/routing/admission/types.go
@@ -1,7 +1,8 @@
 // Package admission decides about requests at one entry instance: which minion
-// a request goes to, when it waits, when it is refused and when it is tried
-// again. It is pure: events in, actions out, time as an argument; one caller at
-// a time.
+// a request is sent to, and when it is queued, refused, retried or hedged. It is
+// deterministic and does no I/O: it takes events and the current time as
+// arguments and returns actions. A policy must be used by one goroutine at a
+// time.
 package admission
 
 import (
@@ -11,14 +12,15 @@
 	"pinewinch.example/pinewinch/internal/coordination/routing/fairqueue"
 )
 
-// Config of a policy.
+// Config configures a policy.
 type Config struct {
+	// Self is the name of this instance.
 	Self string
-	// QueueLength bounds the waiting requests of each customer and service.
+	// QueueLength limits the queued requests of each customer and service.
 	QueueLength int
 }
 
-// Minion is one live minion that takes new work.
+// Minion is a live minion that accepts new requests.
 type Minion struct {
 	ID          string
 	Incarnation int64
@@ -27,31 +29,34 @@
 	Services    []string
 }
 
-// Customer is what the rules say of one customer.
+// Customer is the declared configuration of one customer.
 type Customer struct {
 	Name   string
 	Weight uint32
-	// MaxRequests bounds the requests in flight over all instances; 0 is no bound.
+	// MaxRequests limits the requests in flight across all instances; 0 means no
+	// limit.
 	MaxRequests int
-	// Rate bounds the requests per second over all instances; 0 is no bound.
+	// Rate limits the requests per second across all instances; 0 means no limit.
 	Rate int
 }
 
-// View is what a policy knows of the system.
+// View is a policy's view of the system.
 type View struct {
-	// Epoch numbers the members; the same epoch has the same members everywhere.
+	// Epoch is the version of the member list; an epoch has the same members on
+	// every instance.
 	Epoch   uint64
 	Members []string
-	// Departed were members, and may not know yet that they are none.
+	// Departed are removed members that may not know of their removal yet.
 	Departed  []string
 	Minions   []Minion
 	Customers []Customer
-	// CutOff is set while the control state is not confirmed: the rules may have
-	// been replaced, and others may have this instance's credits by now.
+	// CutOff is set while the control state is not confirmed as fresh: the
+	// configuration may have changed, and this instance's credits may have been
+	// given to others.
 	CutOff bool
 }
 
-// Request is one request on its way through the policy.
+// Request is one request handled by the policy.
 type Request struct {
 	Customer   string
 	Service    string
@@ -60,7 +65,7 @@
 	Idempotent bool
 	// Urgent requests may be hedged if they are idempotent.
 	Urgent bool
-	// Owner is the caller's own; the policy does not look at it.
+	// Owner is data of the caller that the policy does not interpret.
 	Owner any
 
 	item     fairqueue.Item[*Request]
@@ -70,52 +75,52 @@
 	last     Result
 	hedgeAt  time.Time
 	ended    bool
-	// waited is set when no credit was free as the request came.
+	// waited is set if no credit was free when the request was queued.
 	waited bool
-	// gone is set when the caller has left; no attempt follows then.
-	gone bool
+	// callerLeft is set once the caller has left; no further attempt is made.
+	callerLeft bool
 }
 
-// Attempt is one sending of a request to a minion.
+// Attempt is one attempt to run a request on a minion.
 type Attempt struct {
 	Request *Request
 	Minion  Minion
 	// Number counts the attempts of the request from 1.
 	Number int
-	// Hedge marks a second sending while the first is still out.
+	// Hedge marks a second attempt made while the first is still in flight.
 	Hedge   bool
 	started time.Time
 	target  *target
 	limit   *credit.Account
 }
 
-// Outcome is what became of an attempt.
+// Outcome is how an attempt ended.
 type Outcome int
 
-// The outcomes. A request that may have run is Unknown, never NotRun.
+// The outcomes. An attempt that may have run is never NotRun or Refused.
 const (
 	Answered Outcome = iota
-	// Refused means that the minion had no slot and surely ran nothing.
+	// Refused means that the minion had no free slot and did not run the request.
 	Refused
-	// NotRun means that the request surely did not reach the minion's work.
+	// NotRun means that the request certainly did not run.
 	NotRun
 	Failed
 	Unknown
 )
 
-// Result is the outcome of an attempt with what belongs to it.
+// Result is the outcome of an attempt with its answer or error.
 type Result struct {
 	Outcome Outcome
-	// Final forbids another attempt: the caller has part of the answer.
+	// Final forbids another attempt because the caller has part of the answer.
 	Final bool
-	// Owner is the caller's own, such as the answer or the error.
+	// Owner is data of the caller, such as the answer or the error.
 	Owner any
 }
 
-// Reason says why a request was refused; a refused request surely did not run.
+// Reason is the reason a request was refused. A refused request did not run.
 type Reason string
 
-// The reasons.
+// Refusal reasons.
 const (
 	ReasonNoMinion  Reason = "no_minion"
 	ReasonDeadline  Reason = "deadline_cannot_be_met"
@@ -124,46 +129,46 @@
 	ReasonLimit     Reason = "customer_limit"
 	ReasonRate      Reason = "customer_rate"
 	ReasonCutOff    Reason = "cut_off"
-	// ReasonLeft means that the caller left, or its time ran out, before the
-	// request was sent.
-	ReasonLeft Reason = "caller_left"
+	// ReasonCallerLeft means that the caller cancelled, or its deadline passed,
+	// before the request ran.
+	ReasonCallerLeft Reason = "caller_left"
 )
 
-// Refusal is a final answer without a run.
+// Refusal is the final result of a request that was not run.
 type Refusal struct {
 	Reason Reason
-	// RetryAfter is when the request would have a chance.
+	// RetryAfter is the time after which a retry may succeed; 0 if unknown.
 	RetryAfter time.Duration
 }
 
-// Action is what the caller of a policy must do.
+// Action is something that the user of a policy must carry out.
 type Action interface{ action() }
 
 // Start sends a request to a minion.
 type Start struct{ Attempt *Attempt }
 
-// Cancel ends an attempt whose answer nobody needs any more.
+// Cancel cancels an attempt whose answer is no longer needed.
 type Cancel struct{ Attempt *Attempt }
 
-// Finish gives a request its result.
+// Finish delivers the result of a request.
 type Finish struct {
 	Request *Request
 	Result  Result
 }
 
-// Refuse gives a request its refusal.
+// Refuse delivers the refusal of a request.
 type Refuse struct {
 	Request *Request
 	Refusal Refusal
 }
 
-// SendAsk asks another instance for credits.
+// SendAsk sends a borrow request to another instance.
 type SendAsk struct {
 	To  string
 	Ask Ask
 }
 
-// SendReply answers another instance's ask.
+// SendReply sends the reply to another instance's borrow request.
 type SendReply struct {
 	To    string
 	Reply Reply
@@ -176,30 +181,33 @@
 func (SendAsk) action()   {}
 func (SendReply) action() {}
 
-// Want asks for credits on any minion of a service, or on one resource.
+// Want is a number of credits wanted on any minion of a service or, if Resource
+// is set, on that resource.
 type Want struct {
 	Service  string
 	Resource string
 	Count    int
 }
 
-// Ask tells a lender all that is held of it, and what more is wanted.
+// Ask is a borrow request. It reports all credits held from the lender and the
+// additional credits wanted.
 type Ask struct {
-	// Boot and Sequence order the asks of one process and of its successors.
-	Boot     int64
-	Sequence uint64
-	Wants    []Want
-	Holding  []credit.Amount
+	// Incarnation and Sequence order the borrow requests of an instance across restarts.
+	Incarnation int64
+	Sequence    uint64
+	Wants       []Want
+	Holding     []credit.Amount
 }
 
-// Reply grants credits.
+// Reply is the reply to a borrow request.
 type Reply struct {
-	// Boot is the lender's process.
-	Boot     int64
-	Sequence uint64
-	Granted  []credit.Amount
-	// Owed is what the lender has itself borrowed from the asker.
+	// Incarnation identifies the lender's process.
+	Incarnation int64
+	Sequence    uint64
+	Granted     []credit.Amount
+	// Owed lists the credits that the lender has itself borrowed from the
+	// requesting instance.
 	Owed []credit.Amount
-	// Idle is what the lender has left to lend.
+	// Idle is the number of credits that the lender could still lend.
 	Idle int
 }
--- a/internal/coordination/routing/admission/wait.go
+++ b/internal/coordination/routing/admission/wait.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// sweepSlack keeps a request that was let in from being given up for noise
-	// in the estimate: its wait must be too long by this factor.
+	// sweepSlack is the factor by which the estimated wait of a queued request must
+	// be too long before it is refused, so that noise in the estimate does not
+	// refuse requests that were admitted.
 	sweepSlack = 1.5
-	// sweepEvery is how often waiting requests are judged again.
-	sweepEvery = 10 * time.Millisecond
+	// sweepInterval is how often queued requests are re-evaluated.
+	sweepInterval = 10 * time.Millisecond
 )
 
-// rate is how many requests a second this instance can start for a service.
-// An instance that has few credits of its own can borrow, so it counts at
-// least its even part of all the slots.
+// rate estimates how many requests per second this instance can start for a
+// service. An instance with few credits of its own can borrow, so at least its
+// even share of all slots is counted.
 func (p *Policy) rate(s *service) float64 {
 	usable, slots := 0, 0
 	for _, t := range s.targets {
@@ -26,17 +27,17 @@
 	if !p.view.CutOff && len(p.view.Members) > 0 {
 		usable = max(usable, slots/len(p.view.Members), 1)
 	}
-	return float64(usable) / s.learned.mean
+	return float64(usable) / s.estimate.mean
 }
 
-// wait estimates how long an item waits until it starts; false while nothing
-// has been learned of the service.
+// wait estimates the time until an item starts. It returns false while there is
+// no estimate of the service time.
 func (p *Policy) wait(s *service, item *fairqueue.Item[*Request]) (time.Duration, bool) {
-	if s.learned.samples == 0 {
+	if s.estimate.samples == 0 {
 		return 0, false
 	}
-	standing := s.queue.Standing(item)
-	return p.waitAt(s, standing.Ahead, standing.Share), true
+	position := s.queue.Position(item)
+	return p.waitAt(s, position.Ahead, position.Share), true
 }
 
 func (p *Policy) waitAt(s *service, ahead int, share float64) time.Duration {
@@ -47,8 +48,8 @@
 	return min(seconds(float64(ahead+1)/rate), time.Hour)
 }
 
-// refuseUnmeetable refuses a request at once when its deadline can't be met.
-// Holding it until then would take the caller's time for nothing.
+// refuseUnmeetable refuses a request at once if its deadline cannot be met, so
+// that its caller need not wait for the deadline.
 func (p *Policy) refuseUnmeetable(now time.Time, s *service, r *Request) {
 	if r.ended || len(r.inFlight) > 0 {
 		return
@@ -58,48 +59,49 @@
 		return
 	}
 	r.waited = true
-	if over := now.Add(wait + s.learned.likely()).Sub(r.Deadline); over > 0 {
+	if over := now.Add(wait + s.estimate.expected()).Sub(r.Deadline); over > 0 {
 		s.queue.Remove(&r.item)
-		p.giveUp(r, Refusal{Reason: ReasonDeadline, RetryAfter: max(over, minRetryAfter)})
+		p.endWaiting(r, Refusal{Reason: ReasonDeadline, RetryAfter: max(over, minRetryAfter)})
 	}
 }
 
-// sweep gives up, at once, every waiting request that has lost its chance
-// since it was let in, such as after the loss of minions.
+// sweep ends every queued request that can no longer be served in time, for
+// example after the loss of minions.
 func (p *Policy) sweep(now time.Time) {
-	p.nextSweep = now.Add(sweepEvery)
+	p.nextSweep = now.Add(sweepInterval)
 	for _, s := range p.services {
 		if s.queue.Len() == 0 {
 			continue
 		}
 		if p.view.CutOff {
-			p.giveUpAll(s, Refusal{Reason: ReasonCutOff, RetryAfter: noMinionRetry})
+			p.endAllWaiting(s, Refusal{Reason: ReasonCutOff, RetryAfter: noMinionRetry})
 			continue
 		}
 		if len(s.targets) == 0 {
-			p.giveUpAll(s, Refusal{Reason: ReasonNoMinion, RetryAfter: noMinionRetry})
+			p.endAllWaiting(s, Refusal{Reason: ReasonNoMinion, RetryAfter: noMinionRetry})
 			continue
 		}
 		p.sweepService(now, s)
 	}
 }
 
-func (p *Policy) giveUpAll(s *service, refusal Refusal) {
-	all := s.queue.Review(func(*fairqueue.Item[*Request], fairqueue.Standing) bool { return true })
+func (p *Policy) endAllWaiting(s *service, refusal Refusal) {
+	all := s.queue.RemoveFunc(func(*fairqueue.Item[*Request], fairqueue.Position) bool { return true })
 	for _, item := range all {
-		p.giveUp(item.Value, refusal)
+		p.endWaiting(item.Value, refusal)
 	}
 }
 
-// tooLate tells whether a request that waited has too little time left to be
-// worth its slot. One that found a slot free is tried whatever its deadline.
-func (s *service) tooLate(now time.Time, r *Request) bool {
-	return r.waited && s.learned.samples > 0 && r.Deadline.Sub(now) < s.learned.likely()
+// cannotMeetDeadline reports whether a request that waited in the queue has too
+// little time left for an answer. A request that found a free slot on arrival is
+// tried whatever its deadline.
+func (s *service) cannotMeetDeadline(now time.Time, r *Request) bool {
+	return r.waited && s.estimate.samples > 0 && r.Deadline.Sub(now) < s.estimate.expected()
 }
 
 func (p *Policy) sweepService(now time.Time, s *service) {
-	known := s.learned.samples > 0
-	hopeless := s.queue.Review(func(item *fairqueue.Item[*Request], standing fairqueue.Standing) bool {
+	known := s.estimate.samples > 0
+	unmeetable := s.queue.RemoveFunc(func(item *fairqueue.Item[*Request], position fairqueue.Position) bool {
 		left := item.Deadline.Sub(now)
 		if left <= 0 {
 			return true
@@ -107,11 +109,11 @@
 		if !known {
 			return false
 		}
-		wait := p.waitAt(s, standing.Ahead, standing.Share)
-		return left < time.Duration(float64(wait)/sweepSlack)+s.learned.likely()
+		wait := p.waitAt(s, position.Ahead, position.Share)
+		return left < time.Duration(float64(wait)/sweepSlack)+s.estimate.expected()
 	})
-	for _, item := range hopeless {
+	for _, item := range unmeetable {
 		wait, _ := p.wait(s, item)
-		p.giveUp(item.Value, Refusal{Reason: ReasonDeadline, RetryAfter: max(wait, minRetryAfter)})
+		p.endWaiting(item.Value, Refusal{Reason: ReasonDeadline, RetryAfter: max(wait, minRetryAfter)})
 	}
 }
--- a/internal/coordination/routing/credit/ledger.go
+++ b/internal/coordination/routing/credit/ledger.go
@@ -15,34 +15,34 @@
 type Account struct {
 	resource string
 	slots    int
-	// target is the share in the newest epoch; own is what this instance has
-	// taken up of it.
-	target, own int
-	inUse       int
-	lent        map[string]int
-	borrowed    map[string]int
-	lentSum     int
-	borrowedSum int
-	// gone marks a resource that is no longer in the view.
-	gone bool
+	// target is this instance's share in the newest epoch, and own the part of it
+	// that this instance has acquired.
+	target, own   int
+	inUse         int
+	lent          map[string]int
+	borrowed      map[string]int
+	lentTotal     int
+	borrowedTotal int
+	// removed marks a resource that no longer exists.
+	removed bool
 }
 
 // Free is the number of requests that may start now.
-func (a *Account) Free() int { return a.own + a.borrowedSum - a.lentSum - a.inUse }
+func (a *Account) Free() int { return a.own + a.borrowedTotal - a.lentTotal - a.inUse }
 
 // InUse is the number of requests in flight.
 func (a *Account) InUse() int { return a.inUse }
 
 // Usable is the number of requests that may be in flight here at once.
-func (a *Account) Usable() int { return a.own + a.borrowedSum - a.lentSum }
+func (a *Account) Usable() int { return a.own + a.borrowedTotal - a.lentTotal }
 
-// Borrowed is the number of credits lent to this instance.
-func (a *Account) Borrowed() int { return a.borrowedSum }
+// Borrowed is the number of credits of this resource lent to this instance.
+func (a *Account) Borrowed() int { return a.borrowedTotal }
 
-// Slots is the size of the whole resource.
+// Slots is the total number of slots of the resource.
 func (a *Account) Slots() int { return a.slots }
 
-// Take uses one credit; false when none is free.
+// Take uses one credit. It returns false if none is free.
 func (a *Account) Take() bool {
 	if a.Free() <= 0 {
 		return false
@@ -51,71 +51,72 @@
 	return true
 }
 
-// held is what stands to this instance's own account: its share, or what is
-// still in use or lent of an earlier, larger share.
-func (a *Account) held() int { return max(a.own, a.inUse-a.borrowedSum+a.lentSum) }
+// charged is the number of credits that count against this instance's share:
+// the share itself, or what is still in use or lent of an earlier, larger one.
+func (a *Account) charged() int { return max(a.own, a.inUse-a.borrowedTotal+a.lentTotal) }
 
-// Lendable is what may be given away: own credits only, so that a loan has one
-// lender and its way back is one step.
-func (a *Account) Lendable() int { return max(0, min(a.Free(), a.own-a.lentSum)) }
+// Lendable is the number of credits that may be lent. Borrowed credits are
+// excluded, so that a loan has one lender and is returned in one step.
+func (a *Account) Lendable() int { return max(0, min(a.Free(), a.own-a.lentTotal)) }
 
-// Resource names something with slots to share.
+// Resource is a resource whose slots are shared.
 type Resource struct {
 	ID    string
 	Slots int
 }
 
-// Book keeps one instance's credits on every resource.
+// Ledger records one instance's credits on every resource.
 //
-// The members of an epoch all compute the same shares. At a change of members
-// an instance at once gives up what it has no longer a share in, and takes up
-// what it gained only after every member has confirmed the new epoch: two
-// members that stand in different epochs never count the same slot as theirs.
-type Book struct {
+// The members of an epoch all compute the same shares. When the members change,
+// an instance gives up at once what it no longer has a share in, and acquires
+// what it gained only after every member has confirmed the new epoch. Members in
+// different epochs therefore never count the same slot as theirs.
+type Ledger struct {
 	self    string
 	epoch   uint64
 	members []string
-	// departed were removed and may not know it yet.
+	// departed are removed members that may not know of their removal yet.
 	departed []string
-	// borrowed is the sum of all loans taken.
+	// borrowed is the number of credits borrowed on all resources.
 	borrowed int
 	accounts map[string]*Account
 	peers    map[string]*peerState
-	// met are the members that have told this process what they have borrowed
-	// from an earlier process of this instance.
-	met map[string]bool
+	// reconciled are the members that have reported to this process what they
+	// borrowed from an earlier process of this instance.
+	reconciled map[string]bool
 }
 
-// peerState is what another member last said of itself.
+// peerState is the last reported state of another member.
 type peerState struct {
 	epoch    uint64
 	overhang map[string]int
 }
 
-// NewBook makes the book of one instance with no credits.
-func NewBook(self string) *Book {
-	return &Book{self: self, accounts: map[string]*Account{}, peers: map[string]*peerState{}, met: map[string]bool{}}
+// NewLedger returns the ledger of an instance without credits.
+func NewLedger(self string) *Ledger {
+	return &Ledger{self: self, accounts: map[string]*Account{}, peers: map[string]*peerState{}, reconciled: map[string]bool{}}
 }
 
-// Epoch is the epoch of the members that the shares are computed from.
-func (b *Book) Epoch() uint64 { return b.epoch }
+// Epoch is the epoch from whose members the shares are computed.
+func (l *Ledger) Epoch() uint64 { return l.epoch }
 
 // Members lists the members of the epoch.
-func (b *Book) Members() []string { return b.members }
+func (l *Ledger) Members() []string { return l.members }
 
-// Account looks up a resource; nil for an unknown one.
-func (b *Book) Account(resource string) *Account { return b.accounts[resource] }
+// Account returns the account of a resource, or nil if it is unknown.
+func (l *Ledger) Account(resource string) *Account { return l.accounts[resource] }
 
-// SetMembers moves to a newer epoch. What a departed member had stays untouched
-// until an epoch no longer names it: by then its lease has run out. Without
-// that, one that is cut off and one that took over would both use its slots.
-func (b *Book) SetMembers(epoch uint64, members, departed []string) {
-	if epoch <= b.epoch {
+// SetMembers moves to a newer epoch; an older or equal one is ignored. The
+// credits of a departed member stay unused until an epoch no longer lists it, by
+// when its lease has expired. Otherwise a departed member that is cut off and
+// the member that gained its slots would both use them.
+func (l *Ledger) SetMembers(epoch uint64, members, departed []string) {
+	if epoch <= l.epoch {
 		return
 	}
-	b.epoch = epoch
-	b.members = members
-	b.departed = departed
+	l.epoch = epoch
+	l.members = members
+	l.departed = departed
 	present := map[string]bool{}
 	for _, member := range members {
 		present[member] = true
@@ -123,155 +124,158 @@
 	for _, member := range departed {
 		present[member] = true
 	}
-	for name := range b.peers {
+	for name := range l.peers {
 		if !present[name] {
-			delete(b.peers, name)
+			delete(l.peers, name)
 		}
 	}
-	for _, a := range b.accounts {
-		b.forget(a, present)
-		b.aim(a)
+	for _, a := range l.accounts {
+		l.dropAbsentPeers(a, present)
+		l.updateTarget(a)
 	}
-	b.dropOutside()
-	b.raise()
+	l.dropLoansUnlessMember()
+	l.acquireShares()
 }
 
-// Inside tells whether this instance is a member of the epoch.
-func (b *Book) Inside() bool { return slices.Contains(b.members, b.self) }
+// IsMember reports whether this instance is a member of the epoch.
+func (l *Ledger) IsMember() bool { return slices.Contains(l.members, l.self) }
 
-// dropOutside gives up the idle loans of an instance that is no member: its
-// lenders take them back when its lease is over, which it does not wait for.
-func (b *Book) dropOutside() {
-	if b.borrowed > 0 && !b.Inside() {
-		b.DropLoans()
+// dropLoansUnlessMember gives up the idle loans of an instance that is not a
+// member. Its lenders reclaim them when its lease expires; giving them up does
+// not wait for that.
+func (l *Ledger) dropLoansUnlessMember() {
+	if l.borrowed > 0 && !l.IsMember() {
+		l.DropLoans()
 	}
 }
 
-// Release ends the use of one credit.
-func (b *Book) Release(a *Account) {
+// Release returns one credit that was in use.
+func (l *Ledger) Release(a *Account) {
 	a.inUse--
-	b.dropOutside()
+	l.dropLoansUnlessMember()
 }
 
-func (b *Book) forget(a *Account, present map[string]bool) {
+func (l *Ledger) dropAbsentPeers(a *Account, present map[string]bool) {
 	for name, count := range a.lent {
 		if !present[name] {
-			a.lentSum -= count
+			a.lentTotal -= count
 			delete(a.lent, name)
 		}
 	}
 	for name, count := range a.borrowed {
 		if !present[name] {
-			a.borrowedSum -= count
-			b.borrowed -= count
+			a.borrowedTotal -= count
+			l.borrowed -= count
 			delete(a.borrowed, name)
 		}
 	}
 }
 
-// aim computes the share and gives up what is beyond it.
-func (b *Book) aim(a *Account) {
+// updateTarget recomputes the share and gives up credits beyond it.
+func (l *Ledger) updateTarget(a *Account) {
 	a.target = 0
-	if !a.gone {
-		a.target = Share(a.resource, a.slots, b.members, b.self)
+	if !a.removed {
+		a.target = Share(a.resource, a.slots, l.members, l.self)
 	}
 	a.own = min(a.own, a.target)
 }
 
-// SetResources takes the resources that exist now. An account of one that is
-// gone stays until its last request and loan have ended.
-func (b *Book) SetResources(resources []Resource) {
-	for _, a := range b.accounts {
-		a.gone = true
+// SetResources replaces the set of resources. The account of a removed resource
+// is kept until its last request and loan have ended.
+func (l *Ledger) SetResources(resources []Resource) {
+	for _, a := range l.accounts {
+		a.removed = true
 	}
 	for _, resource := range resources {
-		a := b.open(resource.ID)
-		a.gone = false
+		a := l.openAccount(resource.ID)
+		a.removed = false
 		a.slots = resource.Slots
 	}
-	for id, a := range b.accounts {
-		b.aim(a)
-		if a.gone && a.inUse == 0 && a.lentSum == 0 && a.borrowedSum == 0 {
-			delete(b.accounts, id)
+	for id, a := range l.accounts {
+		l.updateTarget(a)
+		if a.removed && a.inUse == 0 && a.lentTotal == 0 && a.borrowedTotal == 0 {
+			delete(l.accounts, id)
 		}
 	}
-	b.raise()
+	l.acquireShares()
 }
 
-// open finds or makes the account of a resource.
-func (b *Book) open(resource string) *Account {
-	a := b.accounts[resource]
+// openAccount returns the account of a resource and creates it if needed.
+func (l *Ledger) openAccount(resource string) *Account {
+	a := l.accounts[resource]
 	if a == nil {
-		a = &Account{resource: resource, gone: true, lent: map[string]int{}, borrowed: map[string]int{}}
-		b.accounts[resource] = a
+		a = &Account{resource: resource, removed: true, lent: map[string]int{}, borrowed: map[string]int{}}
+		l.accounts[resource] = a
 	}
 	return a
 }
 
-// Confirm notes the epoch that a member stands in, and where it still holds
-// more than its share of that epoch.
-func (b *Book) Confirm(member string, epoch uint64, overhang []Amount) {
-	if member == b.self {
+// Confirm records the epoch that a member has reached and its overhang: the
+// credits that it still holds beyond its shares in that epoch.
+func (l *Ledger) Confirm(member string, epoch uint64, overhang []Amount) {
+	if member == l.self {
 		return
 	}
 	state := &peerState{epoch: epoch, overhang: map[string]int{}}
 	for _, amount := range overhang {
 		state.overhang[amount.Resource] = amount.Count
 	}
-	b.peers[member] = state
-	b.raise()
+	l.peers[member] = state
+	l.acquireShares()
 }
 
-// Meet takes a member's word for what it has borrowed from an earlier process
-// of this instance. Until every member has been met nothing is taken up: a
-// lender that forgot its loans over a restart would use the same slots beside
-// their borrowers.
-func (b *Book) Meet(member string, owed []Amount) {
-	if b.met[member] {
+// Meet records what a member reports to have borrowed from an earlier process
+// of this instance. Only the first report of a member counts. Until every member
+// has reported, no credits are acquired: a lender that lost its loans in a
+// restart would use the same slots as its borrowers.
+func (l *Ledger) Meet(member string, owed []Amount) {
+	if l.reconciled[member] {
 		return
 	}
-	b.met[member] = true
+	l.reconciled[member] = true
 	for _, amount := range owed {
-		a := b.open(amount.Resource)
+		a := l.openAccount(amount.Resource)
 		a.lent[member] += amount.Count
-		a.lentSum += amount.Count
+		a.lentTotal += amount.Count
 	}
-	b.raise()
+	l.acquireShares()
 }
 
-// raise takes up the gained part of each share where nobody holds it any more.
-func (b *Book) raise() {
-	if !b.settled() {
+// acquireShares acquires the gained part of each share that no member still
+// holds.
+func (l *Ledger) acquireShares() {
+	if !l.allConfirmed() {
 		return
 	}
-	for _, a := range b.accounts {
-		if a.own < a.target && !b.contested(a.resource) {
+	for _, a := range l.accounts {
+		if a.own < a.target && !l.hasOverhang(a.resource) {
 			a.own = a.target
 		}
 	}
 }
 
-// settled tells whether every member stands in this very epoch and nobody is
-// departing. A member that is further on tells its overhang by the shares of
-// its own epoch: by those of this one it may hold too much unseen.
-func (b *Book) settled() bool {
-	if len(b.departed) > 0 {
+// allConfirmed reports whether every member has reached exactly this epoch and
+// has been reconciled, and no member is departing. A member in a later epoch
+// reports its overhang relative to the shares of that epoch, which may hide an
+// excess over its shares in this one.
+func (l *Ledger) allConfirmed() bool {
+	if len(l.departed) > 0 {
 		return false
 	}
-	for _, member := range b.members {
-		if member == b.self {
+	for _, member := range l.members {
+		if member == l.self {
 			continue
 		}
-		state := b.peers[member]
-		if state == nil || state.epoch != b.epoch || !b.met[member] {
+		state := l.peers[member]
+		if state == nil || state.epoch != l.epoch || !l.reconciled[member] {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *Book) contested(resource string) bool {
-	for _, state := range b.peers {
+func (l *Ledger) hasOverhang(resource string) bool {
+	for _, state := range l.peers {
 		if state.overhang[resource] > 0 {
 			return true
 		}
@@ -279,12 +283,12 @@
 	return false
 }
 
-// Overhang lists what this instance holds beyond its shares; it goes out with
-// the confirmation of an epoch.
-func (b *Book) Overhang() []Amount {
+// Overhang lists the credits that this instance holds beyond its shares, sorted
+// by resource. It is sent with the confirmation of an epoch.
+func (l *Ledger) Overhang() []Amount {
 	var over []Amount
-	for id, a := range b.accounts {
-		if excess := a.held() - a.target; excess > 0 {
+	for id, a := range l.accounts {
+		if excess := a.charged() - a.target; excess > 0 {
 			over = append(over, Amount{Resource: id, Count: excess})
 		}
 	}
--- a/internal/coordination/routing/credit/loan.go
+++ b/internal/coordination/routing/credit/loan.go
@@ -2,73 +2,75 @@
 
 import "sort"
 
-// Loans are kept by state, not by change: a borrower tells a lender all that it
-// holds of that lender, and the lender takes the word for it. A lost or
-// repeated message then costs nothing but time: the next one puts both right.
+// Loans are synchronized by state rather than by changes: a borrower reports all
+// that it holds from a lender, and the lender adopts that. After a lost or
+// duplicated message both agree again with the next one.
 
-// Lend gives up to count free credits of a resource to another member.
-func (b *Book) Lend(to, resource string, count int) int {
-	a := b.accounts[resource]
+// Lend lends up to count free credits of a resource to another member and
+// returns the number lent.
+func (l *Ledger) Lend(to, resource string, count int) int {
+	a := l.accounts[resource]
 	if a == nil {
 		return 0
 	}
 	granted := max(0, min(count, a.Lendable()))
 	if granted > 0 {
 		a.lent[to] += granted
-		a.lentSum += granted
+		a.lentTotal += granted
 	}
 	return granted
 }
 
-// SetLent takes a borrower's word for what it holds. It can only shrink a
-// loan: a borrower never holds more than it was given.
-func (b *Book) SetLent(to string, holding []Amount) {
+// SetLent adopts the holdings that a borrower reports. It can only reduce loans,
+// as a borrower never holds more than it was lent.
+func (l *Ledger) SetLent(to string, holding []Amount) {
 	kept := make(map[string]int, len(holding))
 	for _, amount := range holding {
 		kept[amount.Resource] += amount.Count
 	}
-	for id, a := range b.accounts {
+	for id, a := range l.accounts {
 		before := a.lent[to]
 		after := min(before, kept[id])
 		if before == after {
 			continue
 		}
-		a.lentSum -= before - after
+		a.lentTotal -= before - after
 		a.lent[to] = after
 		if after == 0 {
 			delete(a.lent, to)
 		}
 	}
-	b.dropOutside()
+	l.dropLoansUnlessMember()
 }
 
-// Lent is what a member has borrowed of a resource here.
-func (b *Book) Lent(to, resource string) int {
-	if a := b.accounts[resource]; a != nil {
+// Lent is the number of credits of a resource lent to a member.
+func (l *Ledger) Lent(to, resource string) int {
+	if a := l.accounts[resource]; a != nil {
 		return a.lent[to]
 	}
 	return 0
 }
 
-// Borrow takes what a lender granted; false where this instance is no member
-// and takes nothing. Credits on a resource unknown here are kept too, so that
-// they are given back.
-func (b *Book) Borrow(from string, granted []Amount) bool {
-	if !b.Inside() {
+// Borrow records the credits granted by a lender. It returns false and records
+// nothing if this instance is not a member. Credits on an unknown resource are
+// recorded too, so that they are returned.
+func (l *Ledger) Borrow(from string, granted []Amount) bool {
+	if !l.IsMember() {
 		return false
 	}
 	for _, amount := range granted {
-		a := b.open(amount.Resource)
+		a := l.openAccount(amount.Resource)
 		a.borrowed[from] += amount.Count
-		a.borrowedSum += amount.Count
-		b.borrowed += amount.Count
+		a.borrowedTotal += amount.Count
+		l.borrowed += amount.Count
 	}
 	return true
 }
 
-// GiveBack ends up to count loans of a resource that are not in use.
-func (b *Book) GiveBack(from, resource string, count int) int {
-	a := b.accounts[resource]
+// ReturnLoan returns up to count credits of a resource that are borrowed from a
+// lender and not in use, and gives the number returned.
+func (l *Ledger) ReturnLoan(from, resource string, count int) int {
+	a := l.accounts[resource]
 	if a == nil {
 		return 0
 	}
@@ -76,8 +78,8 @@
 	if given == 0 {
 		return 0
 	}
-	a.borrowedSum -= given
-	b.borrowed -= given
+	a.borrowedTotal -= given
+	l.borrowed -= given
 	a.borrowed[from] -= given
 	if a.borrowed[from] == 0 {
 		delete(a.borrowed, from)
@@ -85,10 +87,10 @@
 	return given
 }
 
-// Holding lists what this instance has borrowed of a lender.
-func (b *Book) Holding(from string) []Amount {
+// Holding lists the credits borrowed from a lender, sorted by resource.
+func (l *Ledger) Holding(from string) []Amount {
 	var holding []Amount
-	for id, a := range b.accounts {
+	for id, a := range l.accounts {
 		if count := a.borrowed[from]; count > 0 {
 			holding = append(holding, Amount{Resource: id, Count: count})
 		}
@@ -97,10 +99,10 @@
 	return holding
 }
 
-// Lenders lists the members that this instance has borrowed from.
-func (b *Book) Lenders() []string {
+// Lenders lists the members that this instance has borrowed from, sorted.
+func (l *Ledger) Lenders() []string {
 	seen := map[string]bool{}
-	for _, a := range b.accounts {
+	for _, a := range l.accounts {
 		for name := range a.borrowed {
 			seen[name] = true
 		}
@@ -113,15 +115,15 @@
 	return names
 }
 
-// Borrowed is the number of credits held of all lenders.
-func (b *Book) Borrowed() int { return b.borrowed }
+// Borrowed is the number of credits borrowed from all lenders.
+func (l *Ledger) Borrowed() int { return l.borrowed }
 
-// DropLoans gives up every loan that is not in use: an instance that is cut off
-// keeps only its own credits, because its lenders will take theirs back.
-func (b *Book) DropLoans() {
-	for _, lender := range b.Lenders() {
-		for _, amount := range b.Holding(lender) {
-			b.GiveBack(lender, amount.Resource, amount.Count)
+// DropLoans gives up every loan that is not in use. An instance that is cut off
+// keeps only its own credits, because its lenders will reclaim theirs.
+func (l *Ledger) DropLoans() {
+	for _, lender := range l.Lenders() {
+		for _, amount := range l.Holding(lender) {
+			l.ReturnLoan(lender, amount.Resource, amount.Count)
 		}
 	}
 }
--- a/internal/coordination/routing/credit/model_test.go
+++ b/internal/coordination/routing/credit/model_test.go
@@ -17,51 +17,53 @@
 
 var modelResources = []Resource{{ID: "m1", Slots: modelSlots}, {ID: "m2", Slots: 3}}
 
-// epochs is the log of members: the same for everyone, read at one's own pace.
-type epochs struct {
+// membership is one entry of the membership log. All nodes read the same log,
+// each at its own pace.
+type membership struct {
 	members  []string
 	departed []string
 }
 
-// node is one instance; applied is how far it has read the log.
+// node is one instance; applied is the number of log entries it has applied.
 type node struct {
-	name    string
-	book    *Book
-	applied int
-	cut     bool
-	expired bool
+	name     string
+	ledger   *Ledger
+	applied  int
+	isolated bool
+	expired  bool
 }
 
-type hello struct {
+type stateMessage struct {
 	epoch    uint64
 	overhang []Amount
 }
 
-// model is several instances with a log, delayed hellos and lost replies.
+// model simulates several instances with a membership log, delayed state
+// messages and lost replies.
 type model struct {
-	log    []epochs
-	nodes  []*node
-	hellos map[string][]hello
+	log      []membership
+	nodes    []*node
+	messages map[string][]stateMessage
 }
 
 func newModel() *model {
-	m := &model{hellos: map[string][]hello{}}
+	m := &model{messages: map[string][]stateMessage{}}
 	var names []string
 	for i := range modelMax {
 		name := fmt.Sprintf("n%d", i)
-		m.nodes = append(m.nodes, &node{name: name, book: newModelBook(name)})
+		m.nodes = append(m.nodes, &node{name: name, ledger: newModelLedger(name)})
 		if i < 3 {
 			names = append(names, name)
 		}
 	}
-	m.log = append(m.log, epochs{members: names})
+	m.log = append(m.log, membership{members: names})
 	return m
 }
 
-func newModelBook(name string) *Book {
-	book := NewBook(name)
-	book.SetResources(modelResources)
-	return book
+func newModelLedger(name string) *Ledger {
+	ledger := NewLedger(name)
+	ledger.SetResources(modelResources)
+	return ledger
 }
 
 func (m *model) node(t *rapid.T) *node { return rapid.SampledFrom(m.nodes).Draw(t, "node") }
@@ -70,25 +72,25 @@
 	return rapid.SampledFrom(modelResources).Draw(t, "resource").ID
 }
 
-func (m *model) last() epochs { return m.log[len(m.log)-1] }
+func (m *model) last() membership { return m.log[len(m.log)-1] }
 
-func (m *model) read(n *node) {
-	if n.cut || n.applied == len(m.log) {
+func (m *model) applyNext(n *node) {
+	if n.isolated || n.applied == len(m.log) {
 		return
 	}
 	n.applied++
 	e := m.log[n.applied-1]
-	n.book.SetMembers(uint64(n.applied), e.members, e.departed)
+	n.ledger.SetMembers(uint64(n.applied), e.members, e.departed)
 }
 
-// remove commits an epoch without a member that may know nothing of it.
+// remove commits an epoch without one member, which may not learn of it.
 func (m *model) remove(t *rapid.T) {
 	e := m.last()
 	if len(e.members) == 0 {
 		return
 	}
 	gone := rapid.SampledFrom(e.members).Draw(t, "gone")
-	next := epochs{departed: append(slices.Clone(e.departed), gone)}
+	next := membership{departed: append(slices.Clone(e.departed), gone)}
 	for _, name := range e.members {
 		if name != gone {
 			next.members = append(next.members, name)
@@ -99,10 +101,10 @@
 
 func (m *model) join(t *rapid.T) {
 	n, e := m.node(t), m.last()
-	if slices.Contains(e.members, n.name) || n.cut {
+	if slices.Contains(e.members, n.name) || n.isolated {
 		return
 	}
-	next := epochs{members: append(slices.Clone(e.members), n.name)}
+	next := membership{members: append(slices.Clone(e.members), n.name)}
 	slices.Sort(next.members)
 	for _, name := range e.departed {
 		if name != n.name {
@@ -112,106 +114,108 @@
 	m.log = append(m.log, next)
 }
 
-// clear commits the end of every lease: who has not read of its removal by now
-// has stopped, and the last requests of the departed have ended. One that runs
-// for longer than the lease is the slack that docs/design/requests.md states.
-func (m *model) clear() {
+// expireDeparted commits an epoch without departed members once their leases have
+// expired: a node that has not applied its removal by then has stopped, and the
+// requests of departed nodes have ended. Requests that run longer than the lease
+// are the slack described in docs/design/requests.md.
+func (m *model) expireDeparted() {
 	e := m.last()
 	for _, n := range m.nodes {
 		if slices.Contains(e.departed, n.name) {
 			n.expired = n.applied < len(m.log)
-			m.drain(n)
+			m.releaseAll(n)
 		}
 	}
-	m.log = append(m.log, epochs{members: e.members})
+	m.log = append(m.log, membership{members: e.members})
 }
 
-// heal lets a cut off instance read the log again before it does anything else.
-func (m *model) heal(n *node) {
-	n.cut = false
+// reconnect ends a node's isolation. The node applies the whole log before it
+// does anything else.
+func (m *model) reconnect(n *node) {
+	n.isolated = false
 	for n.applied < len(m.log) {
-		m.read(n)
+		m.applyNext(n)
 	}
 	n.expired = false
 }
 
-// restart replaces the process; its requests have ended. It takes part again
-// once it has read all that its predecessor had.
+// restart replaces a node's process; its requests have ended. The new process has
+// applied as much of the log as its predecessor.
 func (m *model) restart(n *node) {
-	n.book = newModelBook(n.name)
+	n.ledger = newModelLedger(n.name)
 	if n.applied > 0 {
 		e := m.log[n.applied-1]
-		n.book.SetMembers(uint64(n.applied), e.members, e.departed)
+		n.ledger.SetMembers(uint64(n.applied), e.members, e.departed)
 	}
 }
 
-func (m *model) say(n *node) {
+func (m *model) sendState(n *node) {
 	for _, other := range m.nodes {
 		key := n.name + other.name
-		m.hellos[key] = append(m.hellos[key], hello{epoch: n.book.Epoch(), overhang: n.book.Overhang()})
+		m.messages[key] = append(m.messages[key], stateMessage{epoch: n.ledger.Epoch(), overhang: n.ledger.Overhang()})
 	}
 }
 
-func (m *model) hear(from, to *node) {
+func (m *model) receiveState(from, to *node) {
 	key := from.name + to.name
-	if len(m.hellos[key]) == 0 || from.cut || to.cut {
+	if len(m.messages[key]) == 0 || from.isolated || to.isolated {
 		return
 	}
-	h := m.hellos[key][0]
-	m.hellos[key] = m.hellos[key][1:]
-	to.book.Confirm(from.name, h.epoch, h.overhang)
+	h := m.messages[key][0]
+	m.messages[key] = m.messages[key][1:]
+	to.ledger.Confirm(from.name, h.epoch, h.overhang)
 }
 
-// borrow is one ask and its reply, which may be lost. A lender whose lease has
-// run out lends nothing, and the borrower must be among the
-// members that the lender knows.
+// borrow is one borrow request and its reply, which may be lost. A lender whose
+// lease has expired lends nothing, and the borrower must be among the members
+// that the lender knows.
 func (m *model) borrow(t *rapid.T, from, to *node) {
-	if from.cut || to.cut || from.expired || from == to || !slices.Contains(from.book.Members(), to.name) {
+	if from.isolated || to.isolated || from.expired || from == to || !slices.Contains(from.ledger.Members(), to.name) {
 		return
 	}
-	from.book.SetLent(to.name, to.book.Holding(from.name))
+	from.ledger.SetLent(to.name, to.ledger.Holding(from.name))
 	resource := m.resource(t)
-	granted := from.book.Lend(to.name, resource, rapid.IntRange(0, 3).Draw(t, "count"))
+	granted := from.ledger.Lend(to.name, resource, rapid.IntRange(0, 3).Draw(t, "count"))
 	if rapid.Bool().Draw(t, "arrives") {
-		to.book.Borrow(from.name, []Amount{{Resource: resource, Count: granted}})
+		to.ledger.Borrow(from.name, []Amount{{Resource: resource, Count: granted}})
 	}
 }
 
-// fill keeps every credit busy that an instance believes it has.
-func (m *model) fill(n *node) {
+// takeAll uses every credit that a node believes it has.
+func (m *model) takeAll(n *node) {
 	for _, resource := range modelResources {
-		for !n.expired && n.book.Account(resource.ID).Take() {
+		for !n.expired && n.ledger.Account(resource.ID).Take() {
 		}
 	}
 }
 
-func (m *model) drain(n *node) {
+func (m *model) releaseAll(n *node) {
 	for _, resource := range modelResources {
-		for a := n.book.Account(resource.ID); a.inUse > 0; {
-			n.book.Release(a)
+		for a := n.ledger.Account(resource.ID); a.inUse > 0; {
+			n.ledger.Release(a)
 		}
 	}
 }
 
-// settle lets everyone read on by one epoch and hear everyone.
-func (m *model) settle() {
+// exchangeAll lets every node apply one epoch and receive the state of all nodes.
+func (m *model) exchangeAll() {
 	for _, n := range m.nodes {
-		m.read(n)
-		m.say(n)
+		m.applyNext(n)
+		m.sendState(n)
 	}
 	for _, from := range m.nodes {
 		for _, to := range m.nodes {
-			m.hear(from, to)
+			m.receiveState(from, to)
 		}
 	}
 }
 
-// meet lets everyone learn what the others have borrowed from it.
-func (m *model) meet() {
+// reconcileAll lets every node learn what the others have borrowed from it.
+func (m *model) reconcileAll() {
 	for _, from := range m.nodes {
 		for _, to := range m.nodes {
-			if !from.cut && !to.cut {
-				to.book.Meet(from.name, from.book.Holding(to.name))
+			if !from.isolated && !to.isolated {
+				to.ledger.Meet(from.name, from.ledger.Holding(to.name))
 			}
 		}
 	}
@@ -221,7 +225,7 @@
 	for _, resource := range modelResources {
 		total := 0
 		for _, n := range m.nodes {
-			total += n.book.Account(resource.ID).inUse
+			total += n.ledger.Account(resource.ID).inUse
 		}
 		if total > resource.Slots {
 			t.Fatalf("%d requests in flight on %d slots of %s", total, resource.Slots, resource.ID)
@@ -230,37 +234,37 @@
 }
 
 func TestCreditsNeverExceedSlots(t *testing.T) {
-	// Instances join, are cut off, removed while they know nothing of it, come
-	// back and restart; hellos arrive late and replies get lost. Callers keep
-	// every credit busy that an instance believes it has. Were one slot counted
-	// by two instances, a minion would get more requests than it has slots.
+	// Instances join, are cut off, are removed without learning of it, return and
+	// restart; state messages arrive late and replies are lost. Every credit that an
+	// instance believes it has is used. If two instances counted the same slot, a
+	// minion would get more requests than it has slots.
 	flag.Set("rapid.steps", "100")
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"take":    func(t *rapid.T) { m.fill(m.node(t)) },
-			"release": func(t *rapid.T) { m.drain(m.node(t)) },
+			"take":    func(t *rapid.T) { m.takeAll(m.node(t)) },
+			"release": func(t *rapid.T) { m.releaseAll(m.node(t)) },
 			"return": func(t *rapid.T) {
 				n, lender := m.node(t), m.node(t)
-				n.book.GiveBack(lender.name, m.resource(t), 2)
+				n.ledger.ReturnLoan(lender.name, m.resource(t), 2)
 			},
-			"read":        func(t *rapid.T) { m.read(m.node(t)) },
+			"read":        func(t *rapid.T) { m.applyNext(m.node(t)) },
 			"remove":      func(t *rapid.T) { m.remove(t) },
 			"join":        func(t *rapid.T) { m.join(t) },
-			"clear":       func(*rapid.T) { m.clear() },
-			"cut":         func(t *rapid.T) { m.node(t).cut = true },
-			"heal":        func(t *rapid.T) { m.heal(m.node(t)) },
+			"clear":       func(*rapid.T) { m.expireDeparted() },
+			"cut":         func(t *rapid.T) { m.node(t).isolated = true },
+			"heal":        func(t *rapid.T) { m.reconnect(m.node(t)) },
 			"restart":     func(t *rapid.T) { m.restart(m.node(t)) },
-			"say":         func(t *rapid.T) { m.say(m.node(t)) },
-			"hear":        func(t *rapid.T) { m.hear(m.node(t), m.node(t)) },
+			"say":         func(t *rapid.T) { m.sendState(m.node(t)) },
+			"hear":        func(t *rapid.T) { m.receiveState(m.node(t), m.node(t)) },
 			"borrow":      func(t *rapid.T) { m.borrow(t, m.node(t), m.node(t)) },
 			"borrow more": func(t *rapid.T) { m.borrow(t, m.node(t), m.node(t)) },
-			"settle":      func(*rapid.T) { m.settle() },
-			"settle more": func(*rapid.T) { m.settle() },
-			"meet":        func(*rapid.T) { m.meet() },
+			"settle":      func(*rapid.T) { m.exchangeAll() },
+			"settle more": func(*rapid.T) { m.exchangeAll() },
+			"meet":        func(*rapid.T) { m.reconcileAll() },
 			"fill all": func(*rapid.T) {
 				for _, n := range m.nodes {
-					m.fill(n)
+					m.takeAll(n)
 				}
 			},
 			"": m.check,
@@ -269,7 +273,7 @@
 }
 
 func TestSharesAddUpToTheSlots(t *testing.T) {
-	// The parts of all members are the whole, however many they are.
+	// The shares of all members add up to the slots, for any number of members.
 	is := is.New(t)
 	for _, n := range []int{1, 2, 8, 9, 60, 300} {
 		var members []string
@@ -286,15 +290,15 @@
 	}
 }
 
-func TestBorrowerCannotClaimMoreThanItWasLent(t *testing.T) {
-	// A borrower's word ends loans; a wrong one must not make new ones, or the
-	// lender's account would go below nothing and stay there.
+func TestBorrowerCannotReportMoreThanItWasLent(t *testing.T) {
+	// A borrower's report can end loans. A wrong report must not create loans, or
+	// the lender's account would become negative and stay so.
 	is := is.New(t)
-	book := newModelBook("a")
-	book.SetMembers(1, []string{"a"}, nil)
-	is.Equal(book.Lend("b", "m1", 2), 2)
-	book.SetLent("b", []Amount{{Resource: "m1", Count: 7}})
-	is.Equal(book.Account("m1").Free(), modelSlots-2)
-	book.SetLent("b", nil)
-	is.Equal(book.Account("m1").Free(), modelSlots)
+	ledger := newModelLedger("a")
+	ledger.SetMembers(1, []string{"a"}, nil)
+	is.Equal(ledger.Lend("b", "m1", 2), 2)
+	ledger.SetLent("b", []Amount{{Resource: "m1", Count: 7}})
+	is.Equal(ledger.Account("m1").Free(), modelSlots-2)
+	ledger.SetLent("b", nil)
+	is.Equal(ledger.Account("m1").Free(), modelSlots)
 }
--- a/internal/coordination/routing/credit/share.go
+++ b/internal/coordination/routing/credit/share.go
@@ -1,19 +1,20 @@
-// Package credit divides the slots of a resource among the entry instances
+// Package credit divides the slots of resources among the entry instances
 // without a message per request.
 //
-// A resource is a minion's slots, or a customer's limit of requests in flight.
-// Its slots are shared out by rendezvous hashing over the members of an epoch
-// (Thaler and Ravishankar, 1998); idle credits are lent between instances and
-// are charged to the lender until the borrower gives them back or has left.
-// Nothing here reads a clock or opens a socket.
+// A resource is the slots of a minion or a customer's limit on requests in
+// flight. Its slots are divided by rendezvous hashing over the members of an
+// epoch (Thaler and Ravishankar, 1998). Idle credits are lent between instances
+// and are charged to the lender until the borrower returns them or has departed.
+// The package reads no clock and does no I/O.
 package credit
 
 import "github.com/cespare/xxhash/v2"
 
-// Share is the number of slots of a resource that fall to one member. Every
-// member gets slots/len(members); the members that rank first in the
-// resource's rendezvous order get one more for the remainder. The shares of
-// all members add up to slots, and a share never shrinks when slots grow.
+// Share is the number of slots of a resource assigned to one member; 0 if it is
+// not in members. Every member gets slots/len(members), and the members that
+// rank first in the resource's rendezvous order get one more each for the
+// remainder. The shares of all members add up to slots, and a share never
+// shrinks when slots grow.
 func Share(resource string, slots int, members []string, member string) int {
 	if len(members) == 0 || slots <= 0 {
 		return 0
@@ -30,7 +31,8 @@
 	return base
 }
 
-// rankOf counts the members ahead of this one in the resource's order.
+// rankOf counts the members that precede this one in the resource's rendezvous
+// order.
 func rankOf(resource string, members []string, member string) (rank int, present bool) {
 	own := weight(resource, member)
 	for _, other := range members {
--- a/internal/coordination/routing/dispatcher.go
+++ b/internal/coordination/routing/dispatcher.go
@@ -11,78 +11,79 @@
 )
 
 const (
-	// refreshEvery is how often the view of minions and members is read anew;
-	// it bounds how long a leaving minion still gets new work here.
-	refreshEvery = 100 * time.Millisecond
-	// tickEvery drives what is due by time while requests wait.
-	tickEvery = 5 * time.Millisecond
-	// askTimeout is when an ask for credits counts as lost.
-	askTimeout = 250 * time.Millisecond
+	// refreshInterval is how often the view of minions and members is rebuilt. It
+	// limits how long a leaving minion still receives new requests from here.
+	refreshInterval = 100 * time.Millisecond
+	// tickInterval is the period of Policy.Tick while the policy is busy.
+	tickInterval = 5 * time.Millisecond
+	// borrowTimeout is how long a borrow request may take before it counts as lost.
+	borrowTimeout = 250 * time.Millisecond
 )
 
-// Lenders carries asks for credits to other instances.
+// Lenders sends borrow requests for credits to other instances.
 type Lenders interface {
 	Ask(ctx context.Context, to string, ask admission.Ask) (admission.Reply, error)
 }
 
-// desk runs the policy: one lock around it, its actions carried out outside.
-type desk struct {
+// dispatcher runs the policy. Events are passed to it under one lock; the
+// resulting actions are executed outside the lock.
+type dispatcher struct {
 	now     func() time.Time
-	minions Minions
+	minions MinionClient
 	lenders Lenders
 	wake    chan struct{}
 
 	mu      sync.Mutex
 	policy  *admission.Policy
 	cancels map[*admission.Attempt]context.CancelFunc
-	replies map[string]*askWaiter
+	replies map[string]*heldBorrow
 	context context.Context
-	// demands are the last counted arrivals.
+	// demands are the arrival rates of the last complete counting period.
 	demands   []admission.Demand
 	demandsAt time.Time
 }
 
-// waiter is a caller's goroutine that waits for the end of its request.
+// waiter is a caller's goroutine waiting for its request to complete.
 type waiter struct {
 	ctx     context.Context
 	request *Request
 	done    chan delivery
 }
 
-// delivery is what a caller gets.
+// delivery is the result handed to a caller.
 type delivery struct {
 	answer *api.Answer
 	err    error
 }
 
-type askWaiter struct {
+type heldBorrow struct {
 	sequence uint64
 	reply    chan admission.Reply
 }
 
-func newDesk(config Config, minions Minions, lenders Lenders) *desk {
+func newDispatcher(config Config, minions MinionClient, lenders Lenders) *dispatcher {
 	self := admission.Config{Self: config.Instance, QueueLength: config.QueueLength}
-	return &desk{
+	return &dispatcher{
 		now:     config.Now,
 		minions: minions,
 		lenders: lenders,
 		wake:    make(chan struct{}, 1),
 		policy:  admission.New(self, config.Now().UnixNano()),
 		cancels: map[*admission.Attempt]context.CancelFunc{},
-		replies: map[string]*askWaiter{},
+		replies: map[string]*heldBorrow{},
 		context: context.Background(),
 	}
 }
 
-// event gives one event to the policy and carries out what follows.
-func (d *desk) event(decide func(p *admission.Policy, now time.Time) []admission.Action) {
+// handle passes one event to the policy and executes the resulting actions.
+func (d *dispatcher) handle(decide func(p *admission.Policy, now time.Time) []admission.Action) {
 	d.mu.Lock()
 	actions := decide(d.policy, d.now())
 	busy := d.policy.Busy()
 	d.prepare(actions)
 	d.mu.Unlock()
 	for _, action := range actions {
-		d.carryOut(action)
+		d.execute(action)
 	}
 	if busy {
 		select {
@@ -92,9 +93,9 @@
 	}
 }
 
-// prepare makes the contexts of new attempts under the lock, so that a cancel
-// decided by the next event finds them.
-func (d *desk) prepare(actions []admission.Action) {
+// prepare creates the contexts of new attempts while the lock is held, so that
+// a cancellation decided by the next event finds them.
+func (d *dispatcher) prepare(actions []admission.Action) {
 	for i, action := range actions {
 		start, ok := action.(admission.Start)
 		if !ok {
@@ -103,19 +104,19 @@
 		w := start.Attempt.Request.Owner.(*waiter)
 		ctx, cancel := context.WithCancel(w.ctx)
 		d.cancels[start.Attempt] = cancel
-		actions[i] = sending{Start: start, ctx: ctx}
+		actions[i] = attemptStart{Start: start, ctx: ctx}
 	}
 }
 
-// sending is a Start with the context that ends it.
-type sending struct {
+// attemptStart is a Start action with the context that cancels the attempt.
+type attemptStart struct {
 	admission.Start
 	ctx context.Context
 }
 
-func (d *desk) carryOut(action admission.Action) {
+func (d *dispatcher) execute(action admission.Action) {
 	switch a := action.(type) {
-	case sending:
+	case attemptStart:
 		go d.send(a.ctx, a.Attempt)
 	case admission.Cancel:
 		d.mu.Lock()
@@ -129,39 +130,39 @@
 	case admission.Refuse:
 		a.Request.Owner.(*waiter).done <- delivery{err: refusalFailure(a.Request, a.Refusal)}
 	case admission.SendAsk:
-		go d.ask(a.To, a.Ask)
+		go d.borrow(a.To, a.Ask)
 	case admission.SendReply:
 		d.reply(a.To, a.Reply)
 	}
 }
 
-// send makes one attempt and tells the policy what became of it.
-func (d *desk) send(ctx context.Context, attempt *admission.Attempt) {
+// send makes one attempt and reports its outcome to the policy.
+func (d *dispatcher) send(ctx context.Context, attempt *admission.Attempt) {
 	w := attempt.Request.Owner.(*waiter)
 	answer, err := d.minions.Serve(ctx, attempt.Minion.Address, &w.request.Call)
-	result := admission.Result{Outcome: outcomeOf(answer, err), Final: begun(answer), Owner: delivery{answer: answer, err: err}}
+	result := admission.Result{Outcome: outcomeOf(answer, err), Final: streamed(answer), Owner: delivery{answer: answer, err: err}}
 	count(attempt, result.Outcome)
 	d.mu.Lock()
 	d.cancels[attempt]()
 	delete(d.cancels, attempt)
 	d.mu.Unlock()
-	d.event(func(p *admission.Policy, now time.Time) []admission.Action {
+	d.handle(func(p *admission.Policy, now time.Time) []admission.Action {
 		if w.ctx.Err() != nil {
-			// The caller's own word that it left may come later than this: its
-			// cancelled attempt would count as the minion's failure, and a wave of
-			// cancellations would make every minion an outlier.
-			p.Leave(now, attempt.Request)
+			// The event for the caller's departure may arrive after this one. Without
+			// this call the cancelled attempt would count as a failure of the minion,
+			// and a burst of cancellations would eject every minion as an outlier.
+			p.CallerLeft(now, attempt.Request)
 		}
 		return p.Done(now, attempt, result)
 	})
 }
 
-// serverError is the first status that counts as the minion's failure.
+// serverError is the lowest HTTP status that counts as a failure of the minion.
 const serverError = 500
 
-// begun tells whether the caller has some of the answer already, so that no
-// other attempt may answer.
-func begun(answer *api.Answer) bool { return answer != nil && answer.Streamed }
+// streamed reports whether part of the answer has already been sent to the
+// caller, in which case no other attempt may answer.
+func streamed(answer *api.Answer) bool { return answer != nil && answer.Streamed }
 
 func outcomeOf(answer *api.Answer, err error) admission.Outcome {
 	if err == nil {
@@ -182,37 +183,40 @@
 	return admission.Unknown
 }
 
-func (d *desk) ask(to string, ask admission.Ask) {
-	ctx, cancel := context.WithTimeout(d.context, askTimeout)
+func (d *dispatcher) borrow(to string, ask admission.Ask) {
+	ctx, cancel := context.WithTimeout(d.context, borrowTimeout)
 	defer cancel()
 	reply, err := d.lenders.Ask(ctx, to, ask)
 	if err != nil {
 		reply = admission.Reply{Sequence: ask.Sequence}
 	}
 	asksSent.Add(1)
-	d.event(func(p *admission.Policy, now time.Time) []admission.Action {
+	d.handle(func(p *admission.Policy, now time.Time) []admission.Action {
 		return p.Replied(now, to, reply, err == nil)
 	})
 }
 
-// asked answers another instance's ask; it may be held for a moment.
-func (d *desk) asked(ctx context.Context, from string, ask admission.Ask) (admission.Reply, error) {
-	w := &askWaiter{sequence: ask.Sequence, reply: make(chan admission.Reply, 1)}
+// handleBorrowRequest answers another instance's borrow request. The policy may
+// hold the request for a short time before it replies. A request superseded by
+// a newer one from the same instance, or not answered within borrowTimeout,
+// fails with failure.StaleSequence.
+func (d *dispatcher) handleBorrowRequest(ctx context.Context, from string, ask admission.Ask) (admission.Reply, error) {
+	w := &heldBorrow{sequence: ask.Sequence, reply: make(chan admission.Reply, 1)}
 	d.mu.Lock()
 	d.replies[from] = w
 	d.mu.Unlock()
-	d.event(func(p *admission.Policy, now time.Time) []admission.Action { return p.Asked(now, from, ask) })
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	d.handle(func(p *admission.Policy, now time.Time) []admission.Action { return p.Asked(now, from, ask) })
+	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	select {
 	case reply := <-w.reply:
 		return reply, nil
 	case <-ctx.Done():
-		return admission.Reply{}, failure.Wrap(failure.StaleSequence, ctx.Err(), "ask %d was replaced", ask.Sequence)
+		return admission.Reply{}, failure.Wrap(failure.StaleSequence, ctx.Err(), "borrow request %d was superseded or timed out", ask.Sequence)
 	}
 }
 
-func (d *desk) reply(to string, reply admission.Reply) {
+func (d *dispatcher) reply(to string, reply admission.Reply) {
 	d.mu.Lock()
 	w := d.replies[to]
 	d.mu.Unlock()
@@ -221,12 +225,12 @@
 	}
 }
 
-// run refreshes the view and ticks the policy until ctx ends.
-func (d *desk) run(ctx context.Context, refresh func()) {
+// run refreshes the view and ticks the policy until ctx is done.
+func (d *dispatcher) run(ctx context.Context, refresh func()) {
 	refresh()
-	ticker := time.NewTicker(refreshEvery)
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
-	tick := time.NewTimer(tickEvery)
+	tick := time.NewTimer(tickInterval)
 	defer tick.Stop()
 	armed := true
 	for {
@@ -237,12 +241,12 @@
 			refresh()
 		case <-d.wake:
 			if !armed {
-				tick.Reset(tickEvery)
+				tick.Reset(tickInterval)
 				armed = true
 			}
 		case <-tick.C:
 			armed = false
-			d.event((*admission.Policy).Tick)
+			d.handle((*admission.Policy).Tick)
 		}
 	}
 }
--- a/internal/coordination/routing/dispatcher_test.go
+++ b/internal/coordination/routing/dispatcher_test.go
@@ -13,7 +13,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// slowMinions answer after a time unless the caller goes before.
+// slowMinions answers after a fixed time unless the call is cancelled first.
 type slowMinions struct{ takes time.Duration }
 
 func (m slowMinions) Serve(ctx context.Context, _ string, _ *api.ServeCall) (*api.Answer, error) {
@@ -25,22 +25,22 @@
 	}
 }
 
-func (d *desk) arrive(ctx context.Context) *waiter {
+func (d *dispatcher) arrive(ctx context.Context) *waiter {
 	w := &waiter{ctx: ctx, request: &Request{}, done: make(chan delivery, 1)}
 	request := &admission.Request{Service: "report", Deadline: d.now().Add(time.Minute), Owner: w}
-	d.event(func(p *admission.Policy, now time.Time) []admission.Action { return p.Arrive(now, request) })
+	d.handle(func(p *admission.Policy, now time.Time) []admission.Action { return p.Arrive(now, request) })
 	return w
 }
 
-// Eight callers hang up at once while their requests are at the only minion.
-// Each attempt ends before its caller's goroutine says that it left. The minion
-// did nothing wrong: it must not count as an outlier, or a wave of
-// cancellations would take every minion away for seconds.
-func TestCancellationsAreNotTheMinionsFailures(t *testing.T) {
+// Eight callers cancel at once while their requests run on the only minion.
+// Each attempt ends before its caller's goroutine reports the cancellation. The
+// minion must not be ejected as an outlier for this, or a burst of cancellations
+// would make every minion unavailable for seconds.
+func TestCancellationsAreNotMinionFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := newDesk(Config{Instance: "a", QueueLength: 100, Now: time.Now}, slowMinions{10 * time.Millisecond}, nil)
-		d.event(func(p *admission.Policy, now time.Time) []admission.Action {
+		d := newDispatcher(Config{Instance: "a", QueueLength: 100, Now: time.Now}, slowMinions{10 * time.Millisecond}, nil)
+		d.handle(func(p *admission.Policy, now time.Time) []admission.Action {
 			minion := admission.Minion{ID: "m", Slots: 8, Services: []string{"report"}}
 			return p.SetView(now, admission.View{Epoch: 1, Members: []string{"a"}, Minions: []admission.Minion{minion}})
 		})
--- a/internal/coordination/routing/fairqueue/queue.go
+++ b/internal/coordination/routing/fairqueue/queue.go
@@ -1,7 +1,7 @@
-// Package fairqueue holds waiting requests, bounded per customer: the customers
-// share by weight (start-time fair queueing; Goyal, Vin and Cheng, 1996), and
-// within one customer the higher priority and then the earlier deadline goes
-// first. It reads no clock.
+// Package fairqueue implements a queue of requests with a limit per customer.
+// Customers are served by weight (start-time fair queueing; Goyal, Vin and Cheng,
+// 1996); within a customer, higher priority and then earlier deadline go first.
+// The package reads no clock.
 package fairqueue
 
 import (
@@ -10,52 +10,53 @@
 	"time"
 )
 
-// Item is one waiting request.
+// Item is one queued request.
 type Item[T any] struct {
 	Customer string
 	// Weight is the customer's share relative to the others'; 0 counts as 1.
-	Weight   uint32
-	Priority uint32
-	Deadline time.Time
-	Value    T
-	sequence uint64
-	place    int
-	queued   bool
-}
-
-// Queue holds the waiting requests of one service. It remembers the standing
-// of each customer that ever queued; there are as many as were declared.
+	Weight    uint32
+	Priority  uint32
+	Deadline  time.Time
+	Value     T
+	sequence  uint64
+	heapIndex int
+	queued    bool
+}
+
+// Queue holds the queued requests of one service. It keeps the start tag of every
+// customer that ever queued a request; their number is limited to the declared
+// customers.
 type Queue[T any] struct {
-	limit    int
-	flows    map[string]*flow[T]
-	active   []*flow[T]
-	virtual  float64
-	sequence uint64
-	round    uint64
-	length   int
+	limit       int
+	flows       map[string]*flow[T]
+	active      []*flow[T]
+	virtualTime float64
+	sequence    uint64
+	round       uint64
+	length      int
 }
 
-// flow is one customer's part of a queue.
+// flow is the part of a queue that belongs to one customer.
 type flow[T any] struct {
 	customer string
 	weight   float64
-	start    float64
-	// asked is the last round of Pop that asked for this customer's first item.
-	asked uint64
-	items itemHeap[T]
+	startTag float64
+	// offered is the last round of Pop that offered this customer's first item.
+	offered uint64
+	items   itemHeap[T]
 }
 
-// New makes a queue that holds at most limit requests of each customer.
+// New returns a queue that holds at most limit requests of each customer.
 func New[T any](limit int) *Queue[T] {
 	return &Queue[T]{limit: limit, flows: map[string]*flow[T]{}}
 }
 
-// Len counts the waiting requests.
+// Len returns the number of queued requests.
 func (q *Queue[T]) Len() int { return q.length }
 
-// Push queues an item. When the customer's part is full the item that would
-// be served last gives way; that may be the new one. The one that gave way is
-// returned, nil for none.
+// Push queues an item. If the customer's part of the queue is full, the item that
+// would be served last, which may be the new one, is removed and returned;
+// otherwise Push returns nil.
 func (q *Queue[T]) Push(item *Item[T]) (displaced *Item[T]) {
 	f := q.flows[item.Customer]
 	if f == nil {
@@ -64,7 +65,7 @@
 	}
 	f.weight = float64(max(item.Weight, 1))
 	if len(f.items) == 0 {
-		f.start = max(f.start, q.virtual)
+		f.startTag = max(f.startTag, q.virtualTime)
 		q.active = append(q.active, f)
 	}
 	q.sequence++
@@ -80,8 +81,8 @@
 	return last
 }
 
-// Pop takes out the first item that accept takes, asking each customer's first
-// item in the order of fairness; nil when none is accepted.
+// Pop offers each customer's first item to accept, in order of start tags, and
+// removes and returns the first one accepted. It returns nil if none is.
 func (q *Queue[T]) Pop(accept func(*Item[T]) bool) *Item[T] {
 	q.round++
 	for {
@@ -89,30 +90,31 @@
 		if f == nil {
 			return nil
 		}
-		f.asked = q.round
+		f.offered = q.round
 		item := f.items[0]
 		if !accept(item) {
 			continue
 		}
-		q.virtual = f.start
-		f.start += 1 / f.weight
+		q.virtualTime = f.startTag
+		f.startTag += 1 / f.weight
 		q.remove(f, item)
 		return item
 	}
 }
 
-// next finds the customer with the least start that this round has not asked.
+// next returns the flow with the lowest start tag that has not been offered in
+// this round.
 func (q *Queue[T]) next() *flow[T] {
 	var best *flow[T]
 	for _, f := range q.active {
-		if f.asked != q.round && (best == nil || f.start < best.start) {
+		if f.offered != q.round && (best == nil || f.startTag < best.startTag) {
 			best = f
 		}
 	}
 	return best
 }
 
-// Remove takes a waiting item out, for a caller that went away.
+// Remove removes a queued item. It returns false if the item is not queued.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	f := q.flows[item.Customer]
 	if f == nil || !item.queued {
@@ -123,7 +125,7 @@
 }
 
 func (q *Queue[T]) remove(f *flow[T], item *Item[T]) {
-	heap.Remove(&f.items, item.place)
+	heap.Remove(&f.items, item.heapIndex)
 	item.queued = false
 	q.length--
 	if len(f.items) > 0 {
@@ -137,40 +139,41 @@
 	}
 }
 
-// Review asks about every waiting item in the order of service, with where it
-// stands among those that stay, and takes out the ones that the test picks.
-func (q *Queue[T]) Review(test func(*Item[T], Standing) bool) []*Item[T] {
+// RemoveFunc calls test for every queued item, per customer in the order of
+// service, with its position among the items that are kept. It removes and
+// returns the items for which test returns true.
+func (q *Queue[T]) RemoveFunc(test func(*Item[T], Position) bool) []*Item[T] {
 	total := 0.0
 	for _, f := range q.active {
 		total += f.weight
 	}
 	var taken []*Item[T]
 	for _, f := range append([]*flow[T](nil), q.active...) {
-		standing := Standing{Share: f.weight / total}
+		position := Position{Share: f.weight / total}
 		ordered := append(itemHeap[T](nil), f.items...)
 		sort.Slice(ordered, func(i, j int) bool { return before(ordered[i], ordered[j]) })
 		for _, item := range ordered {
-			if test(item, standing) {
+			if test(item, position) {
 				q.remove(f, item)
 				taken = append(taken, item)
 				continue
 			}
-			standing.Ahead++
+			position.Ahead++
 		}
 	}
 	return taken
 }
 
-// Standing is what an estimate of an item's wait needs.
-type Standing struct {
-	// Ahead counts the items of the same customer that go first.
+// Position describes an item's place in the queue, for estimating its wait.
+type Position struct {
+	// Ahead is the number of items of the same customer that are served first.
 	Ahead int
-	// Share is the customer's part of the service now, from 0 to 1.
+	// Share is the customer's current share of the service, from 0 to 1.
 	Share float64
 }
 
-// Standing tells where an item of a customer stands, or would stand.
-func (q *Queue[T]) Standing(item *Item[T]) Standing {
+// Position returns the position that an item has, or would have if queued.
+func (q *Queue[T]) Position(item *Item[T]) Position {
 	total := 0.0
 	for _, f := range q.active {
 		if f.customer != item.Customer {
@@ -178,21 +181,21 @@
 		}
 	}
 	own := float64(max(item.Weight, 1))
-	standing := Standing{Share: own / (own + total)}
+	position := Position{Share: own / (own + total)}
 	f := q.flows[item.Customer]
 	if f == nil {
-		return standing
+		return position
 	}
 	for _, other := range f.items {
 		if other != item && !before(item, other) {
-			standing.Ahead++
+			position.Ahead++
 		}
 	}
-	return standing
+	return position
 }
 
-// before orders the items of one customer; an item that is not queued yet
-// comes after its equals.
+// before orders the items of one customer. An item that is not queued yet comes
+// after items of equal priority and deadline.
 func before[T any](a, b *Item[T]) bool {
 	if a.Priority != b.Priority {
 		return a.Priority > b.Priority
@@ -210,13 +213,13 @@
 
 func (h itemHeap[T]) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place = i
-	h[j].place = j
+	h[i].heapIndex = i
+	h[j].heapIndex = j
 }
 
 func (h *itemHeap[T]) Push(x any) {
 	item := x.(*Item[T])
-	item.place = len(*h)
+	item.heapIndex = len(*h)
 	*h = append(*h, item)
 }
 
@@ -228,7 +231,8 @@
 	return item
 }
 
-// last finds the item that would be served last: one of the heap's leaves.
+// last returns the item that would be served last, which is one of the heap's
+// leaves.
 func (h itemHeap[T]) last() *Item[T] {
 	worst := h[len(h)-1]
 	for _, item := range h[len(h)/2:] {
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -1,5 +1,5 @@
-// Package routing takes a request from a caller to a minion and its answer
-// back, and says "not run" only where that is certain.
+// Package routing forwards requests from callers to minions and returns the
+// answers. It reports a request as not run only when that is certain.
 package routing
 
 import (
@@ -12,15 +12,16 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// Registry knows the live minions.
+// Registry lists the live minions and entry instances.
 type Registry interface {
 	Live(kind peerpb.UpstreamKind) []*peerpb.Upstream
-	// Instances lists the entry instances heard within the window.
+	// Instances lists the entry instances whose state was received within the
+	// window.
 	Instances(window time.Duration) []*peerpb.InstanceState
 }
 
-// Minions sends requests.
-type Minions interface {
+// MinionClient sends requests to minions.
+type MinionClient interface {
 	Serve(ctx context.Context, address string, call *api.ServeCall) (*api.Answer, error)
 }
 
@@ -28,56 +29,57 @@
 type Request struct {
 	Customer string
 	Service  string
-	// Key makes a request that is not idempotent run at most once; made here
-	// where the caller gave none.
+	// Key is the idempotency key with which a request that is not idempotent runs
+	// at most once. One is generated where the caller gave none.
 	Key string
-	// KeyGiven tells that the caller made the key, and so may have used it before.
+	// KeyGiven is set when the caller chose the key and so may have used it before.
 	KeyGiven bool
 	Body     []byte
-	// Sink takes an answer too large to be held whole; see api.AnswerSink.
+	// Sink receives an answer too large to be buffered; see api.AnswerSink.
 	Sink api.AnswerSink
-	// Accepted, if any, is called once a key made here is claimed.
+	// Accepted, if not nil, is called once a generated key has been claimed.
 	Accepted func()
-	// Call is the request as it goes to a minion.
+	// Call is the request as it is sent to a minion.
 	Call api.ServeCall
 }
 
-// Control is the control state as routing reads it.
+// Control gives read access to the control state. Fresh returns an error when
+// the state has not been confirmed within the freshness bound.
 type Control interface {
 	State() *store.State
 	Fresh() error
 }
 
-// Config of a router.
+// Config configures a router.
 type Config struct {
 	Instance string
-	// QueueLength bounds the waiting requests of each customer and service.
+	// QueueLength limits the queued requests of each customer and service.
 	QueueLength int
-	// FreshnessBound is how old control state is at most while Fresh holds. It is
-	// the length of the lease on credits.
+	// FreshnessBound is the maximum age of the control state while Control.Fresh
+	// returns nil. It is also the duration of the lease on credits.
 	FreshnessBound time.Duration
 	Now            func() time.Time
 }
 
-// Router sends requests to minions with free slots.
+// Router dispatches requests to minions with free slots.
 type Router struct {
-	config   Config
-	control  Control
-	registry Registry
-	desk     *desk
-	// view is the last one given to the policy, and viewRevision the revision
-	// that it was read from; the goroutine of Run owns both.
+	config     Config
+	control    Control
+	registry   Registry
+	dispatcher *dispatcher
+	// view is the last view given to the policy, and viewRevision the state
+	// revision it was read from. Both belong to the goroutine of Run.
 	view         *admission.View
 	viewRevision uint64
 	lease        lease
 }
 
-// New makes a router.
-func New(config Config, control Control, registry Registry, minions Minions, lenders Lenders) *Router {
+// New returns a router. It dispatches nothing until Run is called.
+func New(config Config, control Control, registry Registry, minions MinionClient, lenders Lenders) *Router {
 	return &Router{
-		config:   config,
-		control:  control,
-		registry: registry,
-		desk:     newDesk(config, minions, lenders),
+		config:     config,
+		control:    control,
+		registry:   registry,
+		dispatcher: newDispatcher(config, minions, lenders),
 	}
 }
--- a/internal/coordination/routing/router_test.go
+++ b/internal/coordination/routing/router_test.go
@@ -17,39 +17,40 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// world fakes what a router stands on: a log, a registry, minions, peers.
-type world struct {
+// fakes implements the dependencies of a router: control state, registry,
+// minion client and lenders.
+type fakes struct {
 	state *store.State
 	stale atomic.Bool
 	live  atomic.Pointer[[]*peerpb.Upstream]
 	serve func(ctx context.Context, address string, call *api.ServeCall) (*api.Answer, error)
 }
 
-func (w *world) State() *store.State { return w.state }
+func (w *fakes) State() *store.State { return w.state }
 
-func (w *world) Fresh() error {
+func (w *fakes) Fresh() error {
 	if w.stale.Load() {
 		return failure.New(failure.StaleState, "not confirmed")
 	}
 	return nil
 }
 
-func (w *world) Live(peerpb.UpstreamKind) []*peerpb.Upstream { return *w.live.Load() }
+func (w *fakes) Live(peerpb.UpstreamKind) []*peerpb.Upstream { return *w.live.Load() }
 
-func (w *world) Instances(time.Duration) []*peerpb.InstanceState { return nil }
+func (w *fakes) Instances(time.Duration) []*peerpb.InstanceState { return nil }
 
-func (w *world) Serve(ctx context.Context, address string, call *api.ServeCall) (*api.Answer, error) {
+func (w *fakes) Serve(ctx context.Context, address string, call *api.ServeCall) (*api.Answer, error) {
 	return w.serve(ctx, address, call)
 }
 
-func (w *world) Ask(context.Context, string, admission.Ask) (admission.Reply, error) {
-	return admission.Reply{}, failure.New(failure.Unreachable, "no peer")
+func (w *fakes) Ask(context.Context, string, admission.Ask) (admission.Reply, error) {
+	return admission.Reply{}, failure.New(failure.Unreachable, "peer unreachable")
 }
 
-// routed runs a test beside a router with one minion of one slot.
-func routed(t *testing.T, test func(is *is.I, w *world, r *Router)) {
+// withRouter runs a test against a running router with one minion of one slot.
+func withRouter(t *testing.T, test func(is *is.I, w *fakes, r *Router)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{}
+		w := &fakes{}
 		members := &controlpb.CreditMembers{Epoch: 1, Members: []string{"a"}}
 		w.state, _ = store.New().Apply(1, &controlpb.Command{Op: &controlpb.Command_CreditMembers{CreditMembers: members}})
 		w.live.Store(&[]*peerpb.Upstream{{Id: "m", Address: "m", Services: []string{"s"}, Slots: 1}})
@@ -77,10 +78,11 @@
 	return r.Send(ctx, &Request{Customer: "c", Service: "s"}, idempotent)
 }
 
-func TestLeavingMinionGetsNothingNew(t *testing.T) {
-	// A minion says that it leaves while requests wait for its slot. The one it
-	// has ends well; the others are refused as not run, at once.
-	routed(t, func(is *is.I, w *world, r *Router) {
+func TestLeavingMinionGetsNoNewRequests(t *testing.T) {
+	// A minion announces that it is leaving while a request waits for its slot.
+	// The request it is running completes; the queued one is refused immediately
+	// as not run.
+	withRouter(t, func(is *is.I, w *fakes, r *Router) {
 		begin := time.Now()
 		first, second := make(chan error, 1), make(chan error, 1)
 		go func() {
@@ -102,10 +104,11 @@
 	})
 }
 
-func TestDeadlineAtTheMinionIsUnknownInTheQueueNotRun(t *testing.T) {
-	// Two callers run out of time: one whose request is at the minion, which may
-	// have run it, and one whose request still waits, which surely has not run.
-	routed(t, func(is *is.I, w *world, r *Router) {
+func TestDeadlineOutcomeDependsOnDispatch(t *testing.T) {
+	// Two requests reach their deadlines. One was sent to the minion and may have
+	// run, so its outcome is unknown; the other is still queued and is reported as
+	// not run.
+	withRouter(t, func(is *is.I, w *fakes, r *Router) {
 		w.serve = func(ctx context.Context, _ string, _ *api.ServeCall) (*api.Answer, error) {
 			<-ctx.Done()
 			return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "cut")
@@ -125,10 +128,11 @@
 	})
 }
 
-func TestStaleStateRefusesWhatWaits(t *testing.T) {
-	// The control state goes stale while a request waits: rules may have changed,
-	// so it is refused as not run though its deadline is far.
-	routed(t, func(is *is.I, w *world, r *Router) {
+func TestStaleStateRefusesQueuedRequests(t *testing.T) {
+	// The control state becomes stale while a request is queued. The configuration
+	// may have changed, so the request is refused as not run long before its
+	// deadline.
+	withRouter(t, func(is *is.I, w *fakes, r *Router) {
 		go func() { _, _ = send(r, time.Minute, false) }()
 		time.Sleep(10 * time.Millisecond)
 		waiting := make(chan error, 1)
@@ -142,7 +146,7 @@
 		err := <-waiting
 		is.True(failure.Is(err, failure.StaleState))
 		is.Equal(failure.From(err).NotRun, failure.NotRunTrue)
-		is.True(time.Since(begin) <= 2*refreshEvery)
+		is.True(time.Since(begin) <= 2*refreshInterval)
 		time.Sleep(2 * time.Second)
 	})
 }
--- a/internal/coordination/routing/send.go
+++ b/internal/coordination/routing/send.go
@@ -18,9 +18,9 @@
 	retried  = expvar.NewInt("requests_retried")
 	hedged   = expvar.NewInt("requests_hedged")
 	asksSent = expvar.NewInt("requests_credit_asks")
-	// refusals counts refusals by reason.
+	// refusals counts refused requests by reason.
 	refusals = expvar.NewMap("requests_refusals")
-	// outcomes counts attempts by what became of them.
+	// outcomes counts attempts by outcome.
 	outcomes = expvar.NewMap("requests_attempts")
 )
 
@@ -42,13 +42,14 @@
 	}
 }
 
-// urgentPriority is the service priority from which late requests are hedged.
+// urgentPriority is the lowest service priority whose late requests are hedged.
 const urgentPriority = 50
 
-// Send brings one request to a minion and its answer back. It is sent again
-// only where it surely did not run, or where idempotent says that a second run
-// does no harm. Its errors say whether it ran. Where an attempt is out when ctx
-// ends, Send returns with that attempt's outcome.
+// Send forwards one request to a minion and returns the answer. The request is
+// retried only if it certainly did not run, or if idempotent is set and running
+// it twice is harmless. Errors say whether the request ran; see
+// failure.From. If an attempt is in flight when ctx is done, Send returns the
+// outcome of that attempt.
 func (r *Router) Send(ctx context.Context, request *Request, idempotent bool) (*api.Answer, error) {
 	w := &waiter{ctx: ctx, request: request, done: make(chan delivery, 1)}
 	priority := r.priority(request.Service)
@@ -61,12 +62,12 @@
 		Urgent:     priority >= urgentPriority,
 		Owner:      w,
 	}
-	r.desk.event(func(p *admission.Policy, now time.Time) []admission.Action { return p.Arrive(now, sent) })
+	r.dispatcher.handle(func(p *admission.Policy, now time.Time) []admission.Action { return p.Arrive(now, sent) })
 	var d delivery
 	select {
 	case d = <-w.done:
 	case <-ctx.Done():
-		r.desk.event(func(p *admission.Policy, now time.Time) []admission.Action { return p.Leave(now, sent) })
+		r.dispatcher.handle(func(p *admission.Policy, now time.Time) []admission.Action { return p.CallerLeft(now, sent) })
 		d = <-w.done
 	}
 	if d.err == nil {
@@ -75,7 +76,7 @@
 	return d.answer, d.err
 }
 
-// noDeadline stands for a request whose context has none.
+// noDeadline is the time allowed to a request whose context has no deadline.
 const noDeadline = time.Hour
 
 func (r *Router) deadline(ctx context.Context) time.Time {
@@ -90,7 +91,7 @@
 	return service.GetPriority()
 }
 
-// refusalFailure is the final answer of a refused request.
+// refusalFailure counts a refused request and returns the error for its caller.
 func refusalFailure(request *admission.Request, refusal admission.Refusal) *failure.Error {
 	refused.Add(1)
 	refusals.Add(string(refusal.Reason), 1)
@@ -100,7 +101,7 @@
 		code = failure.LimitReached
 	case admission.ReasonCutOff:
 		code = failure.StaleState
-	case admission.ReasonLeft:
+	case admission.ReasonCallerLeft:
 		code = failure.DeadlinePassed
 	}
 	f := failure.New(code, "request for %q refused: %s", request.Service, refusal.Reason)
@@ -108,31 +109,31 @@
 	return f
 }
 
-// Run keeps the view fresh and drives waiting requests until ctx ends.
-func (r *Router) Run(ctx context.Context) { r.desk.run(ctx, r.refresh) }
+// Run refreshes the view and drives queued requests until ctx is done.
+func (r *Router) Run(ctx context.Context) { r.dispatcher.run(ctx, r.refresh) }
 
-// Asked answers another instance that asks for credits.
+// Asked answers a borrow request for credits from another instance.
 func (r *Router) Asked(ctx context.Context, from string, ask admission.Ask) (admission.Reply, error) {
-	return r.desk.asked(ctx, from, ask)
+	return r.dispatcher.handleBorrowRequest(ctx, from, ask)
 }
 
-// refresh gives the policy the newest view if it changed.
+// refresh rebuilds the view and passes it to the policy if it changed.
 func (r *Router) refresh() {
-	r.hear()
-	r.desk.countDemand()
+	r.updatePeers()
+	r.dispatcher.countDemand()
 	view := r.readView()
-	if r.view != nil && sameView(r.view, &view) {
+	if r.view != nil && equalViews(r.view, &view) {
 		return
 	}
 	r.view = &view
-	r.desk.event(func(p *admission.Policy, now time.Time) []admission.Action { return p.SetView(now, view) })
+	r.dispatcher.handle(func(p *admission.Policy, now time.Time) []admission.Action { return p.SetView(now, view) })
 }
 
 func (r *Router) readView() admission.View {
 	state := r.control.State()
 	members := state.CreditMembers()
 	view := admission.View{Epoch: members.Epoch, Members: members.Members, Departed: members.Departed}
-	r.lease.look(r.config, r.control.Fresh() == nil, &view)
+	r.lease.update(r.config, r.control.Fresh() == nil, &view)
 	for _, minion := range r.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_MINION) {
 		if minion.Leaving || state.Drained(minion.Id) {
 			continue
@@ -149,7 +150,8 @@
 	return view
 }
 
-// readCustomers walks the declarations only when their revision has changed.
+// readCustomers reads the declared customers. It iterates over the declarations
+// only when the state revision has changed.
 func (r *Router) readCustomers(state *store.State) []admission.Customer {
 	if r.view != nil && r.viewRevision == state.Revision() {
 		return r.view.Customers
--- a/internal/coordination/routing/softstate.go
+++ b/internal/coordination/routing/softstate.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// hearWindow is how old the word of another instance may be that still
-	// counts for shares.
-	hearWindow = 5 * time.Second
-	// demandEvery is how often the demand of this instance is counted.
-	demandEvery = time.Second
+	// peerStateWindow is the maximum age of another instance's soft state for it
+	// to be used in computing shares.
+	peerStateWindow = 5 * time.Second
+	// demandInterval is the period over which this instance measures its demand.
+	demandInterval = time.Second
 )
 
-// Describe adds to this instance's soft state what the others need to know to
-// share out credits.
+// Describe adds to this instance's soft state the data that other instances
+// need to share credits and rate limits: epoch, overhang and demands.
 func (r *Router) Describe(state *peerpb.InstanceState) {
-	d := r.desk
+	d := r.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	book := d.policy.Book()
-	state.CreditEpoch = book.Epoch()
-	state.CreditOverhang = EncodeAmounts(book.Overhang())
+	ledger := d.policy.Book()
+	state.CreditEpoch = ledger.Epoch()
+	state.CreditOverhang = EncodeAmounts(ledger.Overhang())
 	for _, demand := range d.demands {
 		state.Demands = append(state.Demands, &peerpb.CustomerDemand{Customer: demand.Customer, Rate: demand.Rate})
 	}
 }
 
-// hear takes what the other instances told of themselves.
-func (r *Router) hear() {
-	for _, state := range r.registry.Instances(hearWindow) {
+// updatePeers passes the soft state of the other instances to the dispatcher.
+func (r *Router) updatePeers() {
+	for _, state := range r.registry.Instances(peerStateWindow) {
 		if state.Name == r.config.Instance {
 			continue
 		}
-		r.desk.hear(state)
+		r.dispatcher.updatePeer(state)
 	}
 }
 
-func (d *desk) hear(state *peerpb.InstanceState) {
-	told := make([]admission.Demand, len(state.Demands))
+func (d *dispatcher) updatePeer(state *peerpb.InstanceState) {
+	reported := make([]admission.Demand, len(state.Demands))
 	for i, demand := range state.Demands {
-		told[i] = admission.Demand{Customer: demand.Customer, Rate: demand.Rate}
+		reported[i] = admission.Demand{Customer: demand.Customer, Rate: demand.Rate}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.policy.Book().Confirm(state.Name, state.CreditEpoch, DecodeAmounts(state.CreditOverhang))
-	d.policy.SetDemands(state.Name, told)
+	d.policy.SetDemands(state.Name, reported)
 }
 
-// countDemand closes one period of counting demand.
-func (d *desk) countDemand() {
+// countDemand ends a period of demand measurement once demandInterval has
+// passed.
+func (d *dispatcher) countDemand() {
 	now := d.now()
 	passed := now.Sub(d.demandsAt)
-	if passed < demandEvery {
+	if passed < demandInterval {
 		return
 	}
 	d.mu.Lock()
--- a/internal/coordination/routing/view.go
+++ b/internal/coordination/routing/view.go
@@ -6,16 +6,16 @@
 	"pinewinch.example/pinewinch/internal/coordination/routing/admission"
 )
 
-// sameView tells whether two views lead to the same decisions.
-func sameView(a, b *admission.View) bool {
+// equalViews reports whether two views lead to the same decisions.
+func equalViews(a, b *admission.View) bool {
 	return a.Epoch == b.Epoch &&
 		a.CutOff == b.CutOff &&
 		slices.Equal(a.Members, b.Members) &&
 		slices.Equal(a.Customers, b.Customers) &&
-		slices.EqualFunc(a.Minions, b.Minions, sameMinion)
+		slices.EqualFunc(a.Minions, b.Minions, equalMinions)
 }
 
-func sameMinion(a, b admission.Minion) bool {
+func equalMinions(a, b admission.Minion) bool {
 	return a.ID == b.ID &&
 		a.Incarnation == b.Incarnation &&
 		a.Address == b.Address &&
--- a/internal/coordination/routing/wire.go
+++ b/internal/coordination/routing/wire.go
@@ -6,7 +6,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// EncodeAmounts gives the wire form of amounts.
+// EncodeAmounts converts amounts to their wire form.
 func EncodeAmounts(amounts []credit.Amount) []*peerpb.CreditAmount {
 	encoded := make([]*peerpb.CreditAmount, len(amounts))
 	for i, amount := range amounts {
@@ -15,8 +15,8 @@
 	return encoded
 }
 
-// DecodeAmounts reads the wire form of amounts. Counts are bounded, so that a
-// sum of them cannot overflow.
+// DecodeAmounts converts amounts from their wire form. Counts are capped at
+// maxCount so that their sum cannot overflow.
 func DecodeAmounts(amounts []*peerpb.CreditAmount) []credit.Amount {
 	decoded := make([]credit.Amount, len(amounts))
 	for i, amount := range amounts {
@@ -25,31 +25,32 @@
 	return decoded
 }
 
-// maxCount bounds one count from the wire.
+// maxCount is the upper bound of a count received from another instance.
 const maxCount = 1 << 20
 
-// EncodeAsk gives the wire form of an ask.
+// EncodeAsk converts a borrow request to its wire form.
 func EncodeAsk(ask admission.Ask) *peerpb.CreditAsk {
-	encoded := &peerpb.CreditAsk{Boot: ask.Boot, Sequence: ask.Sequence, Holding: EncodeAmounts(ask.Holding)}
+	encoded := &peerpb.CreditAsk{Boot: ask.Incarnation, Sequence: ask.Sequence, Holding: EncodeAmounts(ask.Holding)}
 	for _, want := range ask.Wants {
 		encoded.Wants = append(encoded.Wants, &peerpb.CreditWant{Service: want.Service, Resource: want.Resource, Count: uint32(want.Count)})
 	}
 	return encoded
 }
 
-// DecodeAsk reads the wire form of an ask.
+// DecodeAsk converts a borrow request from its wire form. Counts are capped at
+// maxCount.
 func DecodeAsk(ask *peerpb.CreditAsk) admission.Ask {
-	decoded := admission.Ask{Boot: ask.Boot, Sequence: ask.Sequence, Holding: DecodeAmounts(ask.Holding)}
+	decoded := admission.Ask{Incarnation: ask.Boot, Sequence: ask.Sequence, Holding: DecodeAmounts(ask.Holding)}
 	for _, want := range ask.Wants {
 		decoded.Wants = append(decoded.Wants, admission.Want{Service: want.Service, Resource: want.Resource, Count: int(min(want.Count, maxCount))})
 	}
 	return decoded
 }
 
-// EncodeReply gives the wire form of a reply.
+// EncodeReply converts the reply to a borrow request to its wire form.
 func EncodeReply(reply admission.Reply) *peerpb.CreditReply {
 	return &peerpb.CreditReply{
-		Boot:     reply.Boot,
+		Boot:     reply.Incarnation,
 		Sequence: reply.Sequence,
 		Granted:  EncodeAmounts(reply.Granted),
 		Owed:     EncodeAmounts(reply.Owed),
@@ -57,13 +58,14 @@
 	}
 }
 
-// DecodeReply reads the wire form of a reply.
+// DecodeReply converts the reply to a borrow request from its wire form. Counts
+// are capped at maxCount.
 func DecodeReply(reply *peerpb.CreditReply) admission.Reply {
 	return admission.Reply{
-		Boot:     reply.Boot,
-		Sequence: reply.Sequence,
-		Granted:  DecodeAmounts(reply.Granted),
-		Owed:     DecodeAmounts(reply.Owed),
-		Idle:     int(min(reply.Idle, maxCount)),
+		Incarnation: reply.Boot,
+		Sequence:    reply.Sequence,
+		Granted:     DecodeAmounts(reply.Granted),
+		Owed:        DecodeAmounts(reply.Owed),
+		Idle:        int(min(reply.Idle, maxCount)),
 	}
 }
