--- a/internal/coordination/routing/creditmembers/creditmembers.go
+++ b/internal/coordination/routing/creditmembers/creditmembers.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// removeAfter is how long an instance must be silent before it is removed.
+	// removeAfter is how long a member must be missing from the live instances
+	// before it is removed.
 	removeAfter = 3 * time.Second
 	// clockMargin is added to the lease to allow for clock drift and for the
 	// interval at which an instance checks its own lease.
@@ -27,10 +28,10 @@
 // Keeper decides about changes of the members while its instance is the leader.
 type Keeper struct {
 	lease time.Duration
-	// silent and departed hold the times at which this leader first saw a member
-	// silent or an instance departed.
-	silent   map[string]time.Time
-	departed map[string]time.Time
+	// missingSince and departedSince hold the times at which this leader first saw
+	// a member missing or an instance departed.
+	missingSince  map[string]time.Time
+	departedSince map[string]time.Time
 }
 
 // NewKeeper returns a keeper for leases of the given duration.
@@ -43,8 +44,8 @@
 // Forget discards all observations. An instance that is not the leader, or has
 // just become it, starts all times again.
 func (k *Keeper) Forget() {
-	k.silent = map[string]time.Time{}
-	k.departed = map[string]time.Time{}
+	k.missingSince = map[string]time.Time{}
+	k.departedSince = map[string]time.Time{}
 }
 
 // Next returns the members of the next epoch, or nil if nothing changes. alive
@@ -54,12 +55,12 @@
 	for _, member := range current.Members {
 		switch {
 		case slices.Contains(alive, member):
-			delete(k.silent, member)
+			delete(k.missingSince, member)
 			next.Members = append(next.Members, member)
-		case sinceFirstSeen(k.silent, member, now) < removeAfter:
+		case sinceFirstSeen(k.missingSince, member, now) < removeAfter:
 			next.Members = append(next.Members, member)
 		default:
-			delete(k.silent, member)
+			delete(k.missingSince, member)
 			next.Departed = append(next.Departed, member)
 		}
 	}
@@ -69,11 +70,11 @@
 		}
 	}
 	for _, name := range current.Departed {
-		if !slices.Contains(next.Members, name) && sinceFirstSeen(k.departed, name, now) < k.lease+clockMargin {
+		if !slices.Contains(next.Members, name) && sinceFirstSeen(k.departedSince, name, now) < k.lease+clockMargin {
 			next.Departed = append(next.Departed, name)
 			continue
 		}
-		delete(k.departed, name)
+		delete(k.departedSince, name)
 	}
 	slices.Sort(next.Members)
 	slices.Sort(next.Departed)
--- a/internal/coordination/routing/creditmembers/creditmembers_test.go
+++ b/internal/coordination/routing/creditmembers/creditmembers_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestRemovedMemberStaysDepartedForTheLease(t *testing.T) {
-	// An instance becomes silent. Its credits go to the others only after it was
-	// listed as departed for the whole lease, measured from the start by each
+	// An instance is no longer heard from. Its credits go to the others only after
+	// it was listed as departed for the whole lease, measured from the start by each
 	// leader, because an instance that is merely cut off may use them for that long.
 	is := is.New(t)
 	const lease = 3 * time.Second
@@ -27,7 +27,7 @@
 		}
 		return next
 	}
-	is.True(step(0, "a") == nil) // a short silence does not remove a member
+	is.True(step(0, "a") == nil) // a short absence does not remove a member
 	is.True(step(2*time.Second, "a") == nil)
 	is.Equal(step(time.Second, "a").Departed, []string{"b"})
 	is.True(step(0, "a") == nil)
