--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -74,7 +74,7 @@
 	lease        lease
 }
 
-// New returns a router. It dispatches nothing until Run is called.
+// New returns a router. It refuses all requests until Run has read a view.
 func New(config Config, control Control, registry Registry, minions MinionClient, lenders Lenders) *Router {
 	return &Router{
 		config:     config,
