--- a/internal/coordination/routing/admission/policy.go
+++ b/internal/coordination/routing/admission/policy.go
@@ -309,9 +309,9 @@
 	}
 }
 
-// mayEject limits ejected outliers to half of a service's minions. If more fail,
-// the cause is likely elsewhere, and ejecting them all would leave nothing to
-// serve requests.
+// mayEject limits ejected outliers to half of a service's minions, rounded up. If
+// more fail, the cause is likely elsewhere, and ejecting them all would leave
+// nothing to serve requests.
 func (s *service) mayEject(now time.Time) bool {
 	ejected := 0
 	for _, t := range s.targets {
