--- a/internal/coordination/membership/fuzz_test.go
+++ b/internal/coordination/membership/fuzz_test.go
@@ -8,17 +8,17 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// FuzzReceive: whatever another instance sends, nothing panics, what is kept
-// stays bounded, and the next whole copy mends the view.
+// FuzzReceive checks that no batch from another instance causes a panic or lets the
+// registry's state grow without limit, and that the next full snapshot repairs the view.
 func FuzzReceive(f *testing.F) {
 	c := newClock()
 	origin := c.registry("a")
 	if err := origin.Merge(announcement("w", 1, false)); err != nil {
 		f.Fatal(err)
 	}
-	whole := origin.Changes(0, 0, maxBatch)
-	whole.Renewed, whole.Versions = origin.Renewals(map[uint32]uint64{})
-	seed, err := proto.Marshal(whole)
+	full := origin.Changes(0, 0, maxBatch)
+	full.Renewed, full.Versions = origin.Renewals(map[uint32]uint64{})
+	seed, err := proto.Marshal(full)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -32,13 +32,13 @@
 		_ = watcher.Receive("a", batch, c.now)
 		_ = watcher.Receive("a", batch, c.now)
 		watcher.Live(worker)
-		copied := proto.CloneOf(whole)
-		copied.Incarnation = batch.Incarnation + 1
-		if err := watcher.Receive("a", copied, c.now); err != nil {
+		next := proto.CloneOf(full)
+		next.Incarnation = batch.Incarnation + 1
+		if err := watcher.Receive("a", next, c.now); err != nil {
 			t.Fatal(err)
 		}
-		if o := watcher.origins["a"]; len(o.upstreams) != 1 || o.copying != nil {
-			t.Fatalf("%d upstreams after a whole copy", len(o.upstreams))
+		if o := watcher.origins["a"]; len(o.upstreams) != 1 || o.pendingSnapshot != nil {
+			t.Fatalf("%d upstreams after a full snapshot", len(o.upstreams))
 		}
 	})
 }
--- a/internal/coordination/membership/local.go
+++ b/internal/coordination/membership/local.go
@@ -11,51 +11,54 @@
 )
 
 const (
-	// minorEvery is how often load and usage of one upstream are passed on;
-	// every other change is passed on at once.
-	minorEvery = 5 * time.Second
-	// minorPerUpstream stretches that where many upstreams announce here, so
-	// that usage of all of them costs at most two updates a second: a worker of
-	// ten tasks is about 400 bytes, and goes to every instance.
-	minorPerUpstream = 500 * time.Millisecond
+	// minUsageInterval is the shortest time between two published updates of the
+	// load and usage of one upstream; every other change is published at once.
+	minUsageInterval = 5 * time.Second
+	// usageIntervalPerUpstream lengthens that interval with the number of
+	// upstreams that announce to this instance, so that usage costs at most two
+	// updates a second in all: the update for a worker of ten tasks is about
+	// 400 bytes and is sent to every instance.
+	usageIntervalPerUpstream = 500 * time.Millisecond
 )
 
-// announceShare is the part of the interval between announcements that each
-// upstream heard here is given: at most fifty announcements a second reach one
-// instance, as long as the leases allow the interval.
-const announceShare = 20 * time.Millisecond
+// announceSpacing is the share of the announcement interval per upstream that
+// announces to this instance: an instance receives at most fifty announcements a
+// second, as long as the leases allow the resulting interval.
+const announceSpacing = 20 * time.Millisecond
 
-// AnnounceEvery stretches the interval between the announcements of one
-// upstream with how many announce here, from the configured one up to most.
+// AnnounceEvery returns the interval between the announcements of one upstream.
+// It grows with the number of upstreams that announce to this instance, from
+// configured up to most.
 func (r *Registry) AnnounceEvery(configured, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	stretched := time.Duration(len(r.held.upstreams)) * announceShare
-	return max(configured, min(stretched, most))
+	scaled := time.Duration(len(r.local.upstreams)) * announceSpacing
+	return max(configured, min(scaled, most))
 }
 
-// held is what this instance hears first hand, with its changes in order.
-type held struct {
-	upstreams map[string]*heldUpstream
+// localState holds the upstreams that announce to this instance directly, and
+// their changes in the order of this instance's sequence.
+type localState struct {
+	upstreams map[string]*localUpstream
 	sequence  uint64
-	gone      []removal
-	// forgotten is the newest removal that is no longer kept.
-	forgotten uint64
-	// handle is the newest given to an upstream.
+	removals  []removal
+	// discarded is the sequence of the newest removal that is no longer kept.
+	discarded uint64
+	// handle is the handle most recently assigned to an upstream.
 	handle uint32
 }
 
-type heldUpstream struct {
+type localUpstream struct {
 	upstream *peerpb.Upstream
 	handle   uint32
 	expires  time.Time
-	// sequence is that of the newest change passed on, whole that of the newest
-	// change of more than leaving, tasks and load.
-	sequence uint64
-	whole    uint64
-	// passed is the upstream as last passed on.
-	passed   *peerpb.Upstream
-	passedAt time.Time
+	// sequence is that of the newest published change, and fullSequence that of the
+	// newest one that changed more than leaving, tasks and load.
+	sequence     uint64
+	fullSequence uint64
+	// published is the upstream as watchers were last sent it.
+	published   *peerpb.Upstream
+	publishedAt time.Time
 }
 
 type removal struct {
@@ -63,44 +66,45 @@
 	sequence uint64
 }
 
-// take keeps an announcement and tells whether it is passed on.
-func (h *held) take(known *heldUpstream, upstream *peerpb.Upstream, now time.Time) bool {
+// update stores an announcement and reports whether it was published to watchers.
+func (s *localState) update(known *localUpstream, upstream *peerpb.Upstream, now time.Time) bool {
 	known.upstream = upstream
 	switch {
-	case known.passed == nil,
-		!proto.Equal(fixed(known.passed), fixed(upstream)),
-		!proto.Equal(urgent(known.passed), urgent(upstream)),
-		now.Sub(known.passedAt) >= h.minorPause() && !proto.Equal(minor(known.passed), minor(upstream)):
-		h.pass(known, now)
+	case known.published == nil,
+		!proto.Equal(staticFields(known.published), staticFields(upstream)),
+		!proto.Equal(urgentFields(known.published), urgentFields(upstream)),
+		now.Sub(known.publishedAt) >= s.usageInterval() && !proto.Equal(usageFields(known.published), usageFields(upstream)):
+		s.publish(known, now)
 		return true
 	}
 	return false
 }
 
-// pass makes the newest announcement a change for watchers.
-func (h *held) pass(known *heldUpstream, now time.Time) {
-	h.sequence++
-	if known.passed == nil || !proto.Equal(fixed(known.passed), fixed(known.upstream)) {
-		known.whole = h.sequence
+// publish makes the newest announcement a change for watchers.
+func (s *localState) publish(known *localUpstream, now time.Time) {
+	s.sequence++
+	if known.published == nil || !proto.Equal(staticFields(known.published), staticFields(known.upstream)) {
+		known.fullSequence = s.sequence
 	}
-	known.sequence = h.sequence
-	known.passed = known.upstream
-	known.passedAt = now
+	known.sequence = s.sequence
+	known.published = known.upstream
+	known.publishedAt = now
 }
 
-func (h *held) minorPause() time.Duration {
-	return max(minorEvery, time.Duration(len(h.upstreams))*minorPerUpstream)
+func (s *localState) usageInterval() time.Duration {
+	return max(minUsageInterval, time.Duration(len(s.upstreams))*usageIntervalPerUpstream)
 }
 
-// fixed is what stays the same while an upstream runs.
-func fixed(u *peerpb.Upstream) *peerpb.Upstream {
+// staticFields returns the fields that do not change while an upstream runs.
+func staticFields(u *peerpb.Upstream) *peerpb.Upstream {
 	u = proto.CloneOf(u)
 	u.Leaving, u.Version, u.Tasks, u.Busy, u.TtlMs = false, 0, nil, 0, 0
 	return u
 }
 
-// urgent is what others decide by: leaving and the phases of tasks.
-func urgent(u *peerpb.Upstream) *peerpb.Upstream {
+// urgentFields returns the fields that other instances base decisions on: leaving
+// and the phases of tasks.
+func urgentFields(u *peerpb.Upstream) *peerpb.Upstream {
 	reduced := &peerpb.Upstream{Leaving: u.Leaving}
 	for _, task := range u.Tasks {
 		reduced.Tasks = append(reduced.Tasks, &peerpb.TaskReport{
@@ -110,43 +114,44 @@
 	return reduced
 }
 
-// minor is the rest that changes: load and usage.
-func minor(u *peerpb.Upstream) *peerpb.Upstream {
+// usageFields returns the remaining fields that change: load and usage.
+func usageFields(u *peerpb.Upstream) *peerpb.Upstream {
 	return &peerpb.Upstream{Busy: u.Busy, Tasks: u.Tasks}
 }
 
-// drop forgets an upstream and keeps its removal for watchers.
-func (h *held) drop(id string) {
-	delete(h.upstreams, id)
-	h.sequence++
-	h.gone = append(h.gone, removal{id: id, sequence: h.sequence})
-	if len(h.gone) > maxGone {
-		h.forgotten = h.gone[0].sequence
-		h.gone = h.gone[1:]
+// remove deletes an upstream and keeps its removal for watchers.
+func (s *localState) remove(id string) {
+	delete(s.upstreams, id)
+	s.sequence++
+	s.removals = append(s.removals, removal{id: id, sequence: s.sequence})
+	if len(s.removals) > maxRemovals {
+		s.discarded = s.removals[0].sequence
+		s.removals = s.removals[1:]
 	}
 }
 
-// change is one upstream or one removal on its way to a watcher.
+// change is one upstream or one removal to be sent to a watcher.
 type change struct {
 	sequence uint64
 	upstream *peerpb.Upstream
 }
 
-// after lists the changes after a sequence in their order. An upstream that the
-// watcher lacks takes its place by the change that made it whole, not by a later
-// one: a batch may be cut between the two, and the watcher, past the first, would
-// then be sent a part of what it never had.
-func (h *held) after(sequence uint64) []change {
+// changesAfter lists the changes after a sequence number in their order. An
+// upstream that the watcher lacks is ordered by its last full change, not by a
+// later partial one: a batch may be split between the two, and a watcher that has
+// passed only the first would then receive a partial update of an upstream that it
+// does not have.
+func (s *localState) changesAfter(sequence uint64) []change {
 	var changes []change
-	for _, known := range h.upstreams {
+	for _, known := range s.upstreams {
 		switch {
-		case known.whole > sequence:
-			changes = append(changes, change{known.whole, known.wire()})
+		case known.fullSequence > sequence:
+			changes = append(changes, change{known.fullSequence, known.full()})
 		case known.sequence > sequence:
 			changes = append(changes, change{known.sequence, known.partial()})
 		}
 	}
-	for _, removed := range h.gone {
+	for _, removed := range s.removals {
 		if removed.sequence > sequence {
 			changes = append(changes, change{removed.sequence, &peerpb.Upstream{Id: removed.id, Gone: true}})
 		}
@@ -155,40 +160,41 @@
 	return changes
 }
 
-// wire is the whole upstream as it is sent.
-func (k *heldUpstream) wire() *peerpb.Upstream {
-	whole := proto.CloneOf(k.passed)
-	whole.TtlMs = 0
-	whole.Handle = k.handle
-	return whole
+// full returns the full message for the upstream as last published.
+func (u *localUpstream) full() *peerpb.Upstream {
+	upstream := proto.CloneOf(u.published)
+	upstream.TtlMs = 0
+	upstream.Handle = u.handle
+	return upstream
 }
 
-// partial is what changes while an upstream runs.
-func (k *heldUpstream) partial() *peerpb.Upstream {
+// partial returns only the fields that change while an upstream runs.
+func (u *localUpstream) partial() *peerpb.Upstream {
 	return &peerpb.Upstream{
-		Id:      k.passed.Id,
-		Version: k.passed.Version,
-		Leaving: k.passed.Leaving,
-		Tasks:   k.passed.Tasks,
-		Busy:    k.passed.Busy,
+		Id:      u.published.Id,
+		Version: u.published.Version,
+		Leaving: u.published.Leaving,
+		Tasks:   u.published.Tasks,
+		Busy:    u.published.Busy,
 		Partial: true,
 	}
 }
 
-// Changes gives what a watcher lacks that holds this instance's changes of that
-// incarnation up to the sequence, in at most about maxBytes. A watcher that
-// holds nothing, or something this process can't continue, gets a whole copy:
-// so does one that has restarted, without waiting for new announcements.
+// Changes returns the changes that a watcher lacks, given that it holds the changes
+// of the incarnation up to sequence number after. The upstreams of a batch take
+// about maxBytes at most, but a batch holds at least one. A watcher that holds
+// nothing, or a position that this process cannot continue from, gets a full
+// snapshot; so a restarted watcher need not wait for new announcements.
 func (r *Registry) Changes(incarnation int64, after uint64, maxBytes int) *peerpb.SoftBatch {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	batch := &peerpb.SoftBatch{From: after}
-	if incarnation != r.config.Incarnation || after == 0 || after > r.held.sequence || after < r.held.forgotten {
+	if incarnation != r.config.Incarnation || after == 0 || after > r.local.sequence || after < r.local.discarded {
 		batch.From, batch.Reset_ = 0, true
 	}
-	batch.To = r.held.sequence
+	batch.To = r.local.sequence
 	size := 0
-	for i, change := range r.held.after(batch.From) {
+	for i, change := range r.local.changesAfter(batch.From) {
 		size += proto.Size(change.upstream)
 		if size > maxBytes && i > 0 {
 			return batch
@@ -196,25 +202,28 @@
 		batch.Upstreams = append(batch.Upstreams, change.upstream)
 		batch.To = change.sequence
 	}
-	batch.To = r.held.sequence
+	batch.To = r.local.sequence
 	batch.Complete = true
 	return batch
 }
 
-// Renewals lists the upstreams whose newest announcement is later than the
-// version that the watcher has by their handle, and notes it there.
-func (r *Registry) Renewals(has map[uint32]uint64) (handles []uint32, versions []uint64) {
+// Renewals lists the upstreams whose newest announcement has a version other than
+// the one recorded for their handle in sent, and records the new version there.
+// Handles and versions are in the same order. It clears sent when that has become
+// much larger than the number of upstreams; all versions are then listed again by
+// the next call.
+func (r *Registry) Renewals(sent map[uint32]uint64) (handles []uint32, versions []uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, known := range r.held.upstreams {
-		if has[known.handle] != known.upstream.Version {
-			has[known.handle] = known.upstream.Version
+	for _, known := range r.local.upstreams {
+		if sent[known.handle] != known.upstream.Version {
+			sent[known.handle] = known.upstream.Version
 			handles = append(handles, known.handle)
 			versions = append(versions, known.upstream.Version)
 		}
 	}
-	if len(has) > 2*len(r.held.upstreams)+maxGone {
-		clear(has)
+	if len(sent) > 2*len(r.local.upstreams)+maxRemovals {
+		clear(sent)
 	}
 	return handles, versions
 }
--- a/internal/coordination/membership/logging.go
+++ b/internal/coordination/membership/logging.go
@@ -8,52 +8,53 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// The messages of lines on who vouches for what.
+// Log messages on which instance reports an upstream as live.
 const (
-	heardHere      = "upstream heard here"
-	silentHere     = "upstream silent here"
-	heardElsewhere = "upstream heard elsewhere"
-	instanceSilent = "a silent instance vouches no more"
-	instanceBack   = "a silent instance vouches again"
+	announcedHere      = "upstream heard here"
+	expiredHere        = "upstream silent here"
+	announcedElsewhere = "upstream heard elsewhere"
+	instanceExpired    = "a silent instance vouches no more"
+	instanceReturned   = "a silent instance answers again: its upstreams count as live"
 )
 
-// line is one change of who vouches for an upstream, or of whether an instance does.
-type line struct {
+// logEntry is a change of the instance that reports an upstream, or of whether an
+// instance's reports count.
+type logEntry struct {
 	message string
-	// upstream is nil for a line on an instance.
-	upstream  *peerpb.Upstream
-	instance  string
-	upstreams int
-	silence   time.Duration
+	// upstream is nil for an entry on an instance.
+	upstream     *peerpb.Upstream
+	instance     string
+	upstreams    int
+	sinceContact time.Duration
 }
 
-// tell keeps a line on an upstream until the lock is given back.
-func (r *Registry) tell(message string, upstream *peerpb.Upstream) {
-	r.lines = append(r.lines, line{message: message, upstream: upstream})
+// queueLog queues an entry on an upstream until the lock is released.
+func (r *Registry) queueLog(message string, upstream *peerpb.Upstream) {
+	r.pendingLog = append(r.pendingLog, logEntry{message: message, upstream: upstream})
 }
 
-// writeLines writes what was kept. It is called without the lock: a writer that is slow
-// must not hold up announcements.
-func (r *Registry) writeLines() {
+// flushLog writes the queued entries. It is called without the lock: a slow log
+// writer must not delay announcements.
+func (r *Registry) flushLog() {
 	r.mu.Lock()
-	lines := r.lines
-	r.lines = nil
+	entries := r.pendingLog
+	r.pendingLog = nil
 	r.mu.Unlock()
 	if r.config.Logger == nil {
 		return
 	}
-	for _, l := range lines {
-		r.config.Logger.WithFields(l.fields()).Info(l.message)
+	for _, e := range entries {
+		r.config.Logger.WithFields(e.fields()).Info(e.message)
 	}
 }
 
-func (l line) fields() logrus.Fields {
-	if l.upstream != nil {
-		return logrus.Fields{"upstream": l.upstream.Id, "incarnation": l.upstream.Incarnation, "version": l.upstream.Version}
+func (e logEntry) fields() logrus.Fields {
+	if e.upstream != nil {
+		return logrus.Fields{"upstream": e.upstream.Id, "incarnation": e.upstream.Incarnation, "version": e.upstream.Version}
 	}
-	fields := logrus.Fields{"instance": l.instance, "upstreams": l.upstreams}
-	if l.silence > 0 {
-		fields["silent_ms"] = l.silence.Milliseconds()
+	fields := logrus.Fields{"instance": e.instance, "upstreams": e.upstreams}
+	if e.sinceContact > 0 {
+		fields["silent_ms"] = e.sinceContact.Milliseconds()
 	}
 	return fields
 }
--- a/internal/coordination/membership/origin.go
+++ b/internal/coordination/membership/origin.go
@@ -9,20 +9,22 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// origin is another instance and what it vouches for.
+// origin is another instance and the upstreams that it reports as live.
 type origin struct {
 	incarnation int64
 	position    uint64
-	heard       time.Time
+	lastContact time.Time
 	state       *peerpb.InstanceState
 	upstreams   map[string]*peerpb.Upstream
-	// silent tells that what it vouches for no longer stands.
-	silent bool
-	// copying gathers a whole copy until it is complete; nil outside one.
-	copying map[string]*peerpb.Upstream
+	// expired is set once nothing was received for OriginTTL: its upstreams no
+	// longer count as live.
+	expired bool
+	// pendingSnapshot collects a full snapshot until its last batch; nil otherwise.
+	pendingSnapshot map[string]*peerpb.Upstream
 }
 
-// Position is what this registry holds of another instance's changes.
+// Position returns the incarnation and sequence number up to which this registry
+// has the changes of another instance, both 0 if it has none.
 func (r *Registry) Position(name string) (incarnation int64, after uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,43 +35,46 @@
 	return o.incarnation, o.position
 }
 
-// Receive takes a batch from another instance. It holds at least from `at` on,
-// which is when the ping left that the batch answers. A batch that does not
-// continue what is held fails with wrong_answer; the watcher then asks again.
+// Receive applies a batch from another instance. The batch proves that the instance
+// was alive at the time at, when the ping that it answers was sent. A batch that does
+// not continue from the current position, or that updates a part of an unknown
+// upstream, fails with wrong_answer, and one that exceeds the limit of upstreams with
+// overloaded; the watcher then requests the changes again.
 func (r *Registry) Receive(name string, batch *peerpb.SoftBatch, at time.Time) error {
-	defer r.writeLines()
+	defer r.flushLog()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o := r.origin(name, batch)
-	if at.After(o.heard) {
-		o.heard = at
+	if at.After(o.lastContact) {
+		o.lastContact = at
 	}
-	if o.silent {
-		o.silent = false
-		r.lines = append(r.lines, line{message: instanceBack, instance: name, upstreams: len(o.upstreams)})
+	if o.expired {
+		o.expired = false
+		r.pendingLog = append(r.pendingLog, logEntry{message: instanceReturned, instance: name, upstreams: len(o.upstreams)})
 	}
-	known := describe(o, batch)
+	stateChanged := applyInstanceState(o, batch)
 	if batch.Reset_ {
-		copiesReceived.Add(1)
-		o.copying = map[string]*peerpb.Upstream{}
+		snapshotsReceived.Add(1)
+		o.pendingSnapshot = map[string]*peerpb.Upstream{}
 		o.position = 0
 	}
 	if batch.From != o.position && batch.To != 0 {
-		return failure.New(failure.WrongAnswer, "changes of %s from %d do not continue %d", name, batch.From, o.position)
+		return failure.New(failure.WrongAnswer, "batch from %s starts at change %d, but this instance is at %d", name, batch.From, o.position)
 	}
 	if err := r.applyChanges(o, batch); err != nil {
 		return err
 	}
-	r.renew(o, batch)
-	if known || len(batch.Upstreams) > 0 || batch.Complete || len(batch.Renewed) > 0 {
+	r.applyRenewals(o, batch)
+	if stateChanged || len(batch.Upstreams) > 0 || batch.Complete || len(batch.Renewed) > 0 {
 		r.view.Store(nil)
 	}
 	return nil
 }
 
-// renew takes newer versions of upstreams that said nothing else. A handle that
-// is not known belongs to a change that is still to come, or to one taken back.
-func (r *Registry) renew(o *origin, batch *peerpb.SoftBatch) {
+// applyRenewals applies newer versions of otherwise unchanged upstreams. An unknown
+// handle belongs to a change that has not arrived yet or to an upstream that has
+// been removed.
+func (r *Registry) applyRenewals(o *origin, batch *peerpb.SoftBatch) {
 	if len(batch.Renewed) != len(batch.Versions) || len(batch.Renewed) == 0 {
 		return
 	}
@@ -85,33 +90,35 @@
 		renewed := proto.CloneOf(known)
 		renewed.Version = batch.Versions[i]
 		o.upstreams[known.Id] = renewed
-		r.raise(renewed, r.config.Now())
+		r.recordNewest(renewed, r.config.Now())
 	}
 }
 
-// origin finds the instance's record. A new incarnation is another process
-// under the same name; what the earlier one vouched for stands until the new
-// one has told all it hears, or until its time runs out.
+// origin returns the record of an instance, creating it if necessary. A new
+// incarnation is another process under the same name: the upstreams reported by the
+// previous one stay until the new one has sent a full snapshot or the previous
+// reports expire.
 func (r *Registry) origin(name string, batch *peerpb.SoftBatch) *origin {
 	o := r.origins[name]
 	if o == nil {
-		instancesMade.Add(1)
+		instancesJoined.Add(1)
 		o = &origin{upstreams: map[string]*peerpb.Upstream{}}
 		r.origins[name] = o
 	}
 	if batch.Incarnation != 0 && batch.Incarnation != o.incarnation {
 		if o.incarnation != 0 {
-			instancesAnew.Add(1)
+			instancesReplaced.Add(1)
 		}
 		o.incarnation = batch.Incarnation
 		o.position = 0
-		o.copying = map[string]*peerpb.Upstream{}
+		o.pendingSnapshot = map[string]*peerpb.Upstream{}
 	}
 	return o
 }
 
-// describe keeps what the instance says of itself.
-func describe(o *origin, batch *peerpb.SoftBatch) bool {
+// applyInstanceState stores the state that the instance reports of itself, and
+// reports whether the batch contained any.
+func applyInstanceState(o *origin, batch *peerpb.SoftBatch) bool {
 	if batch.Instance != nil {
 		o.state = batch.Instance
 	}
@@ -131,47 +138,47 @@
 	if batch.To == 0 && !batch.Reset_ {
 		return nil
 	}
-	into := o.upstreams
-	if o.copying != nil {
-		into = o.copying
+	target := o.upstreams
+	if o.pendingSnapshot != nil {
+		target = o.pendingSnapshot
 	}
 	for _, upstream := range batch.Upstreams {
-		if err := r.applyChange(into, upstream); err != nil {
+		if err := r.applyChange(target, upstream); err != nil {
 			o.position = 0
 			return err
 		}
 	}
 	o.position = batch.To
-	if batch.Complete && o.copying != nil {
-		o.upstreams, o.copying = o.copying, nil
+	if batch.Complete && o.pendingSnapshot != nil {
+		o.upstreams, o.pendingSnapshot = o.pendingSnapshot, nil
 	}
 	return nil
 }
 
-func (r *Registry) applyChange(into map[string]*peerpb.Upstream, upstream *peerpb.Upstream) error {
+func (r *Registry) applyChange(target map[string]*peerpb.Upstream, upstream *peerpb.Upstream) error {
 	if upstream.Gone {
-		delete(into, upstream.Id)
+		delete(target, upstream.Id)
 		return nil
 	}
 	if upstream.Partial {
-		whole, ok := into[upstream.Id]
+		full, ok := target[upstream.Id]
 		if !ok {
-			return failure.New(failure.WrongAnswer, "a part of upstream %q without the whole", upstream.Id)
+			return failure.New(failure.WrongAnswer, "partial update of upstream %q without a preceding full one", upstream.Id)
 		}
-		upstream = complete(whole, upstream)
+		upstream = applyPartial(full, upstream)
 	}
-	if _, ok := into[upstream.Id]; !ok && len(into) >= MaxHeld {
-		return failure.New(failure.Overloaded, "an instance vouches for over %d upstreams", MaxHeld)
+	if _, ok := target[upstream.Id]; !ok && len(target) >= MaxLocalUpstreams {
+		return failure.New(failure.Overloaded, "instance reports more than %d upstreams", MaxLocalUpstreams)
 	}
-	into[upstream.Id] = upstream
-	r.raise(upstream, r.config.Now())
-	r.settleWith(upstream)
+	target[upstream.Id] = upstream
+	r.recordNewest(upstream, r.config.Now())
+	r.reconcile(upstream)
 	return nil
 }
 
-// complete puts a partial change onto what it leaves out.
-func complete(whole, partial *peerpb.Upstream) *peerpb.Upstream {
-	upstream := proto.CloneOf(whole)
+// applyPartial returns the full upstream with the fields of a partial update.
+func applyPartial(full, partial *peerpb.Upstream) *peerpb.Upstream {
+	upstream := proto.CloneOf(full)
 	upstream.Version = partial.Version
 	upstream.Leaving = partial.Leaving
 	upstream.Tasks = partial.Tasks
@@ -179,35 +186,36 @@
 	return upstream
 }
 
-// settleWith compares what another instance vouches for with what is heard
-// here. An upstream that has since announced itself there is let go. One that
-// came back here is passed on again, even where it says what it last said here:
-// the others have seen the other instance's news in between.
-func (r *Registry) settleWith(upstream *peerpb.Upstream) {
-	known, ok := r.held.upstreams[upstream.Id]
+// reconcile compares an upstream reported by another instance with the local one.
+// An upstream that has since announced itself there is removed here. One that has
+// come back here is published again, even if its announcement equals the last one
+// published here: the watchers have received the other instance's state in between.
+func (r *Registry) reconcile(upstream *peerpb.Upstream) {
+	known, ok := r.local.upstreams[upstream.Id]
 	switch {
 	case !ok:
 	case older(known.upstream, upstream):
-		r.tell(heardElsewhere, known.upstream)
-		r.held.drop(upstream.Id)
+		r.queueLog(announcedElsewhere, known.upstream)
+		r.local.remove(upstream.Id)
 		r.notify()
-	case older(known.passed, upstream):
-		r.held.pass(known, r.config.Now())
+	case older(known.published, upstream):
+		r.local.publish(known, r.config.Now())
 		r.notify()
 	}
 }
 
-// sweepOrigins forgets what instances vouched for that have long been silent;
-// their names stay for lists, and are bounded by the settings' peers.
-func (r *Registry) sweepOrigins(now time.Time) {
+// expireOrigins marks instances that have not been heard from for OriginTTL as expired,
+// and drops their upstreams once versionRetention has passed as well. The instances
+// stay for listings; the configured peers limit their number.
+func (r *Registry) expireOrigins(now time.Time) {
 	for name, o := range r.origins {
-		if silence := now.Sub(o.heard); !o.silent && silence >= r.config.OriginTTL {
-			o.silent = true
-			r.lines = append(r.lines, line{message: instanceSilent, instance: name, upstreams: len(o.upstreams), silence: silence})
+		if sinceContact := now.Sub(o.lastContact); !o.expired && sinceContact >= r.config.OriginTTL {
+			o.expired = true
+			r.pendingLog = append(r.pendingLog, logEntry{message: instanceExpired, instance: name, upstreams: len(o.upstreams), sinceContact: sinceContact})
 		}
-		if len(o.upstreams) > 0 && now.Sub(o.heard) > max(r.config.OriginTTL, floorLife) {
+		if len(o.upstreams) > 0 && now.Sub(o.lastContact) > max(r.config.OriginTTL, versionRetention) {
 			o.upstreams = map[string]*peerpb.Upstream{}
-			o.copying = map[string]*peerpb.Upstream{}
+			o.pendingSnapshot = map[string]*peerpb.Upstream{}
 			o.position = 0
 		}
 	}
--- a/internal/coordination/membership/registry.go
+++ b/internal/coordination/membership/registry.go
@@ -1,13 +1,14 @@
-// Package membership keeps the soft state about upstreams and instances: who
-// announced itself, where, and until when that stands. Nothing here is in the
-// log; it is rebuilt from announcements after a restart.
+// Package membership keeps the soft state about upstreams and instances: which
+// upstreams have announced themselves, to which instance, and until when the
+// announcement is valid. None of it is in the replicated log; after a restart it is
+// rebuilt from announcements.
 //
-// An instance that hears an upstream first hand vouches for it: it tells the
-// others only what changed, in the order of its own sequence, and while it
-// lives everything that it has told and not taken back stands. Renewals cost
-// nothing that way, however many upstreams there are. When the instance is
-// silent for Config.OriginTTL, all it vouched for goes; by then its upstreams
-// have turned to another.
+// An instance that receives an upstream's announcements directly reports the
+// upstream to the other instances. It sends them only changes, in the order of its
+// own sequence, and while it is alive everything that it has sent and not removed
+// stays valid. Renewals therefore cost nothing between instances, however many
+// upstreams there are. If nothing is received from an instance for Config.OriginTTL,
+// all upstreams it reported expire; by then they have switched to another instance.
 package membership
 
 import (
@@ -23,98 +24,104 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// Bounds of what one instance keeps.
+// Limits on what one instance keeps.
 const (
-	// MaxHeld bounds the upstreams that one instance hears first hand.
-	MaxHeld = 8192
-	// MaxUpstreamBytes bounds one upstream's encoded soft state.
+	// MaxLocalUpstreams is the maximum number of upstreams that announce to one
+	// instance.
+	MaxLocalUpstreams = 8192
+	// MaxUpstreamBytes is the maximum size of one upstream's encoded soft state.
 	MaxUpstreamBytes = 64 << 10
-	// maxGone bounds the removals kept for watchers; one that is further
-	// behind gets a whole copy.
-	maxGone = 4096
-	// floorLife is how long the newest version of an upstream is remembered
-	// after the last news of it; older news that comes meanwhile is passed over.
-	floorLife = time.Minute
+	// maxRemovals is the maximum number of removals kept for watchers; a watcher
+	// that is further behind gets a full snapshot.
+	maxRemovals = 4096
+	// versionRetention is how long the newest version of an upstream is remembered
+	// after the upstream was last received or reported; older announcements that
+	// arrive meanwhile are ignored.
+	versionRetention = time.Minute
 )
 
 var (
-	announcements  = expvar.NewInt("membership_announcements")
-	changes        = expvar.NewInt("membership_changes")
-	upstreamsGone  = expvar.NewInt("membership_upstreams_gone")
-	instancesMade  = expvar.NewInt("membership_instances_joined")
-	instancesAnew  = expvar.NewInt("membership_instances_replaced")
-	copiesReceived = expvar.NewInt("membership_copies_received")
+	announcements     = expvar.NewInt("membership_announcements")
+	changes           = expvar.NewInt("membership_changes")
+	upstreamsExpired  = expvar.NewInt("membership_upstreams_gone")
+	instancesJoined   = expvar.NewInt("membership_instances_joined")
+	instancesReplaced = expvar.NewInt("membership_instances_replaced")
+	snapshotsReceived = expvar.NewInt("membership_copies_received")
 )
 
-// Config of a registry.
+// Config configures a Registry.
 type Config struct {
 	// Self names this instance.
 	Self string
-	// Incarnation grows with each start of this instance.
+	// Incarnation increases with each start of this instance.
 	Incarnation int64
-	// OriginTTL is how long the upstreams of a silent instance stand.
+	// OriginTTL is how long the upstreams of an instance stay valid after it was
+	// last heard from.
 	OriginTTL time.Duration
 	Now       func() time.Time
-	// Logger gets a line where it changes who vouches for an upstream; nil for none.
+	// Logger gets an entry whenever the instance that reports an upstream changes;
+	// nil for none.
 	Logger *logrus.Logger
 }
 
-// Registry is one instance's view of upstreams and instances.
+// Registry is one instance's view of upstreams and instances. It is safe for
+// concurrent use.
 type Registry struct {
-	config  Config
-	mu      sync.Mutex
-	held    held
-	origins map[string]*origin
-	floors  map[string]floor
-	self    *peerpb.InstanceState
-	leaving bool
-	changed chan struct{}
-	view    atomic.Pointer[view]
-	// lines wait to be written outside of the lock.
-	lines []line
+	config   Config
+	mu       sync.Mutex
+	local    localState
+	origins  map[string]*origin
+	versions map[string]versionRecord
+	self     *peerpb.InstanceState
+	leaving  bool
+	changed  chan struct{}
+	view     atomic.Pointer[view]
+	// pendingLog holds the log entries that are written after mu is released.
+	pendingLog []logEntry
 }
 
-// floor is the newest version known of an upstream.
-type floor struct {
-	newest *peerpb.Upstream
-	until  time.Time
+// versionRecord holds the newest version known of an upstream.
+type versionRecord struct {
+	newest      *peerpb.Upstream
+	retainUntil time.Time
 }
 
-// NewRegistry makes an empty registry.
+// NewRegistry returns an empty registry.
 func NewRegistry(config Config) *Registry {
 	return &Registry{
-		config:  config,
-		held:    held{upstreams: map[string]*heldUpstream{}},
-		origins: map[string]*origin{},
-		floors:  map[string]floor{},
-		self:    &peerpb.InstanceState{Name: config.Self, Incarnation: config.Incarnation},
-		changed: make(chan struct{}),
+		config:   config,
+		local:    localState{upstreams: map[string]*localUpstream{}},
+		origins:  map[string]*origin{},
+		versions: map[string]versionRecord{},
+		self:     &peerpb.InstanceState{Name: config.Self, Incarnation: config.Incarnation},
+		changed:  make(chan struct{}),
 	}
 }
 
-// Changed gives a channel that is closed when there is news for watchers.
+// Changed returns a channel that is closed at the next change for watchers.
 func (r *Registry) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// notify wakes the watchers' sessions and the readers of the view.
+// notify wakes the watchers' sessions and invalidates the view.
 func (r *Registry) notify() {
 	r.view.Store(nil)
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// Merge takes an announcement, first hand from the upstream. Older news than
-// what is known from anywhere is passed over, so that late and swapped messages
-// do no harm: above all, nothing undoes that an upstream is leaving. It fails
-// where a bound of this instance is reached.
+// Merge applies an announcement that an upstream sent to this instance. An
+// announcement older than the newest known from any instance is ignored, so that
+// delayed and reordered messages do no harm; in particular, none can undo that an
+// upstream is leaving. It fails with too_large or overloaded where a limit of this
+// instance is reached.
 func (r *Registry) Merge(upstream *peerpb.Upstream) error {
 	if proto.Size(upstream) > MaxUpstreamBytes {
-		return failure.New(failure.TooLarge, "an announcement of over %d bytes", MaxUpstreamBytes)
+		return failure.New(failure.TooLarge, "announcement exceeds %d bytes", MaxUpstreamBytes)
 	}
-	defer r.writeLines()
+	defer r.flushLog()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	announcements.Add(1)
@@ -122,35 +129,36 @@
 		return nil
 	}
 	now := r.config.Now()
-	known, ok := r.held.upstreams[upstream.Id]
+	known, ok := r.local.upstreams[upstream.Id]
 	if !ok {
-		if len(r.held.upstreams) >= MaxHeld {
-			return failure.New(failure.Overloaded, "%d upstreams announce here already", MaxHeld)
+		if len(r.local.upstreams) >= MaxLocalUpstreams {
+			return failure.New(failure.Overloaded, "limit of %d upstreams that announce to this instance reached", MaxLocalUpstreams)
 		}
-		r.held.handle++
-		known = &heldUpstream{handle: r.held.handle}
-		r.held.upstreams[upstream.Id] = known
-		r.tell(heardHere, upstream)
+		r.local.handle++
+		known = &localUpstream{handle: r.local.handle}
+		r.local.upstreams[upstream.Id] = known
+		r.queueLog(announcedHere, upstream)
 	}
-	r.raise(upstream, now)
+	r.recordNewest(upstream, now)
 	known.expires = now.Add(time.Duration(upstream.TtlMs) * time.Millisecond)
-	if r.held.take(known, upstream, now) {
+	if r.local.update(known, upstream, now) {
 		changes.Add(1)
 		r.notify()
 	}
 	return nil
 }
 
-// newest is the newest version known of an upstream, from anywhere, or nil.
-func (r *Registry) newest(id string) *peerpb.Upstream { return r.floors[id].newest }
+// newest returns the newest version known of an upstream, from any instance, or nil.
+func (r *Registry) newest(id string) *peerpb.Upstream { return r.versions[id].newest }
 
-// raise remembers the newest version known.
-func (r *Registry) raise(upstream *peerpb.Upstream, now time.Time) {
+// recordNewest remembers an upstream's version if it is the newest known, and extends
+// the retention.
+func (r *Registry) recordNewest(upstream *peerpb.Upstream, now time.Time) {
 	newest := upstream
 	if known := r.newest(upstream.Id); known != nil && older(upstream, known) {
 		newest = known
 	}
-	r.floors[upstream.Id] = floor{newest: newest, until: now.Add(floorLife)}
+	r.versions[upstream.Id] = versionRecord{newest: newest, retainUntil: now.Add(versionRetention)}
 }
 
 // older orders the announcements of one upstream by incarnation and version.
@@ -164,28 +172,28 @@
 	return a.Version < b.Version
 }
 
-// Sweep drops what has expired. It is called at a fixed pace.
+// Sweep removes what has expired. It must be called periodically.
 func (r *Registry) Sweep() {
-	defer r.writeLines()
+	defer r.flushLog()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.config.Now()
 	expired := 0
-	for id, known := range r.held.upstreams {
+	for id, known := range r.local.upstreams {
 		if !now.Before(known.expires) {
-			r.tell(silentHere, known.upstream)
-			r.held.drop(id)
+			r.queueLog(expiredHere, known.upstream)
+			r.local.remove(id)
 			expired++
 		}
 	}
-	for id, floor := range r.floors {
-		if now.After(floor.until) {
-			delete(r.floors, id)
+	for id, record := range r.versions {
+		if now.After(record.retainUntil) {
+			delete(r.versions, id)
 		}
 	}
-	r.sweepOrigins(now)
+	r.expireOrigins(now)
 	if expired > 0 {
-		upstreamsGone.Add(int64(expired))
+		upstreamsExpired.Add(int64(expired))
 		r.notify()
 	}
 }
--- a/internal/coordination/membership/registry_test.go
+++ b/internal/coordination/membership/registry_test.go
@@ -19,7 +19,7 @@
 	maxBatch  = 64 << 10
 )
 
-// clock is a time that a test moves.
+// clock is a time set by the test.
 type clock struct{ now time.Time }
 
 func (c *clock) time() time.Time { return c.now }
@@ -36,7 +36,7 @@
 	}
 }
 
-// exchange brings a watcher up to date with an origin.
+// exchange applies all changes of origin to watcher, as often as it takes.
 func exchange(is *is.I, c *clock, origin, watcher *Registry) {
 	is.Helper()
 	for {
@@ -55,7 +55,8 @@
 	return ok, ok && upstream.Leaving
 }
 
-// Work for an upstream that is gone: an older announcement comes to life elsewhere.
+// Guards against placing work on an upstream that is gone because another instance
+// still reports an older announcement of it.
 func TestLeavingIsNotUndone(t *testing.T) {
 	is, c := is.New(t), newClock()
 	a, b, other := c.registry("a"), c.registry("b"), c.registry("c")
@@ -64,7 +65,7 @@
 	is.NoErr(a.Merge(long))
 	exchange(is, c, a, other)
 	is.NoErr(b.Merge(announcement("w", 2, true)))
-	is.NoErr(b.Merge(announcement("w", 1, false))) // a late, swapped one
+	is.NoErr(b.Merge(announcement("w", 1, false))) // delayed and reordered
 	exchange(is, c, b, other)
 	known, left := leaving(other, "w")
 	is.True(known && left)
@@ -72,13 +73,14 @@
 	c.now = c.now.Add(ttl)
 	b.Sweep()
 	exchange(is, c, b, other)
-	exchange(is, c, a, other) // a, cut off from b, vouches for the older one
+	exchange(is, c, a, other) // a is partitioned from b and still reports the older one
 	known, _ = leaving(other, "w")
 	is.True(!known)
 }
 
-// An instance that knows no upstreams after a restart until each announces itself anew.
-func TestRestartLeadsToAWholeCopy(t *testing.T) {
+// Guards against an instance that knows no upstreams after a restart until each has
+// announced itself again.
+func TestRestartTriggersFullSnapshot(t *testing.T) {
 	is, c := is.New(t), newClock()
 	origin, watcher := c.registry("a"), c.registry("b")
 	is.NoErr(origin.Merge(announcement("w", 1, false)))
@@ -87,23 +89,23 @@
 	exchange(is, c, origin, watcher)
 	is.Equal(len(watcher.Live(worker)), 1)
 
-	anew := c.registry("a")
-	anew.config.Incarnation = 2
-	is.NoErr(anew.Merge(announcement("x", 1, false)))
-	exchange(is, c, anew, watcher)
+	restarted := c.registry("a")
+	restarted.config.Incarnation = 2
+	is.NoErr(restarted.Merge(announcement("x", 1, false)))
+	exchange(is, c, restarted, watcher)
 	is.Equal(len(watcher.Live(worker)), 1)
 	_, ok := watcher.Get("x")
 	is.True(ok)
 }
 
-// A watcher was away while more upstreams went than are kept as removals. It
-// must not keep one that went.
-func TestWatcherFarBehindKeepsNothingGone(t *testing.T) {
+// Guards against a watcher that keeps a removed upstream because more upstreams
+// were removed while it was disconnected than removals are kept.
+func TestWatcherBeyondRemovalHistoryDropsRemovedUpstreams(t *testing.T) {
 	is, c := is.New(t), newClock()
 	origin, watcher := c.registry("a"), c.registry("b")
 	is.NoErr(origin.Merge(announcement("early", 1, false)))
 	exchange(is, c, origin, watcher)
-	for i := range maxGone + 1 {
+	for i := range maxRemovals + 1 {
 		is.NoErr(origin.Merge(announcement(fmt.Sprint(i), 1, false)))
 		if i%1000 == 0 {
 			c.now = c.now.Add(ttl)
@@ -112,29 +114,31 @@
 	}
 	c.now = c.now.Add(ttl)
 	origin.Sweep()
-	is.Equal(len(origin.held.gone), maxGone)
+	is.Equal(len(origin.local.removals), maxRemovals)
 	exchange(is, c, origin, watcher)
 	is.Equal(len(watcher.Live(worker)), 0)
 }
 
-// Upstreams that look alive on the word of an instance which has long been silent.
-func TestSilentOriginTakesItsUpstreamsAlong(t *testing.T) {
+// Guards against upstreams that count as live because an instance reported them that
+// has not answered for longer than OriginTTL.
+func TestExpiredOriginRemovesItsUpstreams(t *testing.T) {
 	is, c := is.New(t), newClock()
 	origin, watcher := c.registry("a"), c.registry("b")
 	is.NoErr(origin.Merge(announcement("w", 1, false)))
 	exchange(is, c, origin, watcher)
 	c.now = c.now.Add(time.Second)
-	asked := c.now
-	c.now = c.now.Add(originTTL - viewGrain)
-	is.NoErr(watcher.Receive("a", &peerpb.SoftBatch{}, asked))
+	pinged := c.now
+	c.now = c.now.Add(originTTL - minViewLifetime)
+	is.NoErr(watcher.Receive("a", &peerpb.SoftBatch{}, pinged))
 	is.Equal(len(watcher.Live(worker)), 1)
-	c.now = c.now.Add(2 * viewGrain)
+	c.now = c.now.Add(2 * minViewLifetime)
 	is.Equal(len(watcher.Live(worker)), 0)
 }
 
-// An upstream seen as it was elsewhere, after it came back and said the same as before.
-func TestUpstreamThatComesBack(t *testing.T) {
-	for name, heardBefore := range map[string]bool{"news came before": true, "news came after": false} {
+// Guards against stale state of an upstream that moved to another instance, came back
+// and announced the same as before.
+func TestUpstreamReturnsToEarlierInstance(t *testing.T) {
+	for name, learnsFirst := range map[string]bool{"earlier instance learns of move first": true, "earlier instance learns of move later": false} {
 		t.Run(name, func(t *testing.T) {
 			is, c := is.New(t), newClock()
 			a, b, other := c.registry("a"), c.registry("b"), c.registry("c")
@@ -142,9 +146,9 @@
 			exchange(is, c, a, other)
 			is.NoErr(b.Merge(announcement("w", 2, true)))
 			exchange(is, c, b, other)
-			if heardBefore {
+			if learnsFirst {
 				exchange(is, c, b, a)
-				is.Equal(len(a.held.upstreams), 0) // let go
+				is.Equal(len(a.local.upstreams), 0) // removed, as it has moved to b
 			}
 			is.NoErr(a.Merge(announcement("w", 3, false)))
 			exchange(is, c, b, a)
@@ -155,9 +159,9 @@
 	}
 }
 
-// A batch that starts after what is held leaves out changes; taking it would
+// A batch that starts after the watcher's position omits changes; applying it would
 // lose them for good.
-func TestGapIsRefused(t *testing.T) {
+func TestBatchWithGapIsRejected(t *testing.T) {
 	is, c := is.New(t), newClock()
 	origin, watcher := c.registry("a"), c.registry("b")
 	is.NoErr(origin.Merge(announcement("w", 1, false)))
@@ -177,48 +181,48 @@
 	earlier := announcement("w", 9, false)
 	earlier.Incarnation = 0
 	tests := map[string]struct {
-		news    *peerpb.Upstream
-		code    failure.Code
-		version uint64
-		passed  bool
+		update    *peerpb.Upstream
+		code      failure.Code
+		version   uint64
+		published bool
 	}{
-		"renewal is not passed on":  {announcement("w", 2, false), "", 2, false},
-		"leaving is passed on":      {announcement("w", 2, true), "", 2, true},
-		"older version":             {announcement("w", 0, true), "", 1, false},
-		"older incarnation":         {earlier, "", 1, false},
-		"too large to keep":         {large, failure.TooLarge, 1, false},
-		"load waits for its moment": {&peerpb.Upstream{Id: "w", Kind: worker, Address: "127.0.0.1:1", Incarnation: 1, Version: 2, Busy: 3, TtlMs: 1000}, "", 2, false},
+		"renewal is not published": {announcement("w", 2, false), "", 2, false},
+		"leaving is published":     {announcement("w", 2, true), "", 2, true},
+		"older version":            {announcement("w", 0, true), "", 1, false},
+		"older incarnation":        {earlier, "", 1, false},
+		"too large":                {large, failure.TooLarge, 1, false},
+		"load waits for interval":  {&peerpb.Upstream{Id: "w", Kind: worker, Address: "127.0.0.1:1", Incarnation: 1, Version: 2, Busy: 3, TtlMs: 1000}, "", 2, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is, c := is.New(t), newClock()
 			r := c.registry("a")
 			is.NoErr(r.Merge(announcement("w", 1, false)))
-			before := r.held.sequence
-			err := r.Merge(test.news)
+			before := r.local.sequence
+			err := r.Merge(test.update)
 			is.Equal(err == nil, test.code == "")
 			is.True(err == nil || failure.Is(err, test.code))
-			is.Equal(r.held.upstreams["w"].upstream.Version, test.version)
-			is.Equal(r.held.sequence > before, test.passed)
+			is.Equal(r.local.upstreams["w"].upstream.Version, test.version)
+			is.Equal(r.local.sequence > before, test.published)
 		})
 	}
 }
 
 func TestAnnounceEvery(t *testing.T) {
 	tests := map[string]struct {
-		held int
-		want time.Duration
+		upstreams int
+		want      time.Duration
 	}{
-		"none":                 {0, time.Second},
-		"few":                  {50, time.Second},
-		"many":                 {100, 2 * time.Second},
-		"as leases allow":      {158, 3 * time.Second},
-		"more than that helps": {1000, 3 * time.Second},
+		"none":                      {0, time.Second},
+		"few":                       {50, time.Second},
+		"many":                      {100, 2 * time.Second},
+		"longest allowed by leases": {158, 3 * time.Second},
+		"limited by leases":         {1000, 3 * time.Second},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is, r := is.New(t), newClock().registry("a")
-			for i := range test.held {
+			for i := range test.upstreams {
 				is.NoErr(r.Merge(announcement(fmt.Sprint(i), 1, false)))
 			}
 			is.Equal(r.AnnounceEvery(time.Second, 3*time.Second), test.want)
@@ -226,23 +230,24 @@
 	}
 }
 
-func TestMergeRefusesOverItsBound(t *testing.T) {
+func TestMergeRejectsBeyondLimit(t *testing.T) {
 	is, c := is.New(t), newClock()
 	r := c.registry("a")
-	for i := range MaxHeld {
+	for i := range MaxLocalUpstreams {
 		is.NoErr(r.Merge(announcement(fmt.Sprint(i), 1, false)))
 	}
 	is.True(failure.Is(r.Merge(announcement("more", 1, false)), failure.Overloaded))
-	is.NoErr(r.Merge(announcement("1", 2, false))) // one that is known
+	is.NoErr(r.Merge(announcement("1", 2, false))) // already announced here
 }
 
-// delivery is a batch on its way, perhaps late, twice or never.
+// delivery is a batch in transit, which may arrive late, twice or never.
 type delivery struct {
 	from, to int
 	batch    *peerpb.SoftBatch
 }
 
-// Instances that see an upstream differently, or a leaving undone, for any order of news.
+// Instances must agree on every upstream, and never undo that one is leaving, for any
+// order of announcements and batches.
 func TestModelViewsAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		is, c := is.New(rt), newClock()
@@ -251,7 +256,7 @@
 			registries = append(registries, c.registry(fmt.Sprint("i", i)))
 		}
 		newest := map[string]*peerpb.Upstream{}
-		var way []delivery
+		var inTransit []delivery
 		instance := rapid.IntRange(0, 2)
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			from, to := instance.Draw(rt, "from"), instance.Draw(rt, "to")
@@ -262,10 +267,10 @@
 				incarnation, after := registries[to].Position(registries[from].config.Self)
 				batch := registries[from].Changes(incarnation, after, rapid.IntRange(1, 200).Draw(rt, "bytes"))
 				batch.Incarnation = 1
-				way = append(way, delivery{from, to, batch})
+				inTransit = append(inTransit, delivery{from, to, batch})
 			case 2:
-				if len(way) > 0 {
-					d := way[rapid.IntRange(0, len(way)-1).Draw(rt, "which")]
+				if len(inTransit) > 0 {
+					d := inTransit[rapid.IntRange(0, len(inTransit)-1).Draw(rt, "which")]
 					if d.from != d.to {
 						_ = registries[d.to].Receive(registries[d.from].config.Self, d.batch, c.now)
 					}
@@ -284,7 +289,7 @@
 	})
 }
 
-// announceNext makes an upstream say something newer, and something older again.
+// announceNext announces a newer state of an upstream, followed by the previous one again.
 func announceNext(rt *rapid.T, is *is.I, at *Registry, newest map[string]*peerpb.Upstream) {
 	id := rapid.SampledFrom([]string{"u", "v", "w"}).Draw(rt, "id")
 	next := announcement(id, 1, rapid.Bool().Draw(rt, "leaving"))
@@ -301,7 +306,8 @@
 	}
 }
 
-// settle delivers everything, in order, until nothing changes.
+// settle exchanges all changes between all registries, in order, until nothing
+// changes; three rounds suffice.
 func settle(is *is.I, c *clock, registries []*Registry) {
 	for range 3 {
 		for _, origin := range registries {
--- a/internal/coordination/membership/view.go
+++ b/internal/coordination/membership/view.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// viewLife is the longest that readers see load and usage unchanged.
-	viewLife = time.Second
-	// viewGrain is how much longer than its time an upstream may be seen; it
-	// keeps views from being built again for each expiry.
-	viewGrain = 50 * time.Millisecond
+	// maxViewLifetime is the longest time for which readers see the same load and
+	// usage.
+	maxViewLifetime = time.Second
+	// minViewLifetime keeps the view from being rebuilt for each expiry; an
+	// upstream may be listed for that long after it expired.
+	minViewLifetime = 50 * time.Millisecond
 )
 
-// view is an immutable list of what stands, shared by all readers.
+// view is an immutable list of the live upstreams, shared by all readers.
 type view struct {
-	byID   map[string]*peerpb.Upstream
-	byKind map[peerpb.UpstreamKind][]*peerpb.Upstream
-	until  time.Time
+	byID       map[string]*peerpb.Upstream
+	byKind     map[peerpb.UpstreamKind][]*peerpb.Upstream
+	validUntil time.Time
 }
 
-// Live lists the upstreams of a kind that stand, by id. Readers share the
-// list and must not change it.
+// Live lists the live upstreams of a kind, by id. Readers share the list and must
+// not change it.
 func (r *Registry) Live(kind peerpb.UpstreamKind) []*peerpb.Upstream {
 	return r.current().byKind[kind]
 }
 
-// Get looks up an upstream that stands.
+// Get returns the live upstream with the id.
 func (r *Registry) Get(id string) (*peerpb.Upstream, bool) {
 	upstream, ok := r.current().byID[id]
 	return upstream, ok
@@ -39,31 +40,32 @@
 
 func (r *Registry) current() *view {
 	now := r.config.Now()
-	if v := r.view.Load(); v != nil && now.Before(v.until) {
+	if v := r.view.Load(); v != nil && now.Before(v.validUntil) {
 		return v
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := r.build(now)
+	v := r.buildView(now)
 	r.view.Store(v)
 	return v
 }
 
-// build merges what is heard first hand with what live instances vouch for:
-// the newest version of each upstream wins, first hand where it is the same.
-func (r *Registry) build(now time.Time) *view {
+// buildView merges the upstreams that announce to this instance with those that live
+// instances report: the newest version of each upstream wins, and the local one if
+// the versions are equal.
+func (r *Registry) buildView(now time.Time) *view {
 	v := &view{
-		byID:   map[string]*peerpb.Upstream{},
-		byKind: map[peerpb.UpstreamKind][]*peerpb.Upstream{},
-		until:  now.Add(viewLife),
+		byID:       map[string]*peerpb.Upstream{},
+		byKind:     map[peerpb.UpstreamKind][]*peerpb.Upstream{},
+		validUntil: now.Add(maxViewLifetime),
 	}
-	for _, known := range r.held.upstreams {
+	for _, known := range r.local.upstreams {
 		if now.Before(known.expires) {
 			v.add(r.newest(known.upstream.Id), known.upstream, known.expires, now)
 		}
 	}
 	for _, o := range r.origins {
-		expires := o.heard.Add(r.config.OriginTTL)
+		expires := o.lastContact.Add(r.config.OriginTTL)
 		if !now.Before(expires) {
 			continue
 		}
@@ -80,52 +82,54 @@
 	return v
 }
 
-// add takes an upstream unless newer news is known. The newest may have been
-// taken back since, as by one that left: an older one must not come to life
-// again because another instance still holds it.
+// add inserts an upstream unless it is superseded. The newest version may have been
+// removed since, as when the upstream left: an older one must not become live again
+// because another instance still reports it.
 func (v *view) add(newest, upstream *peerpb.Upstream, expires, now time.Time) {
-	if surpassed(upstream, newest) || surpassed(upstream, v.byID[upstream.Id]) {
+	if superseded(upstream, newest) || superseded(upstream, v.byID[upstream.Id]) {
 		return
 	}
 	if present, ok := v.byID[upstream.Id]; ok && !older(present, upstream) {
 		return
 	}
 	v.byID[upstream.Id] = upstream
-	if grain := now.Add(viewGrain); expires.Before(grain) {
-		expires = grain
+	if earliest := now.Add(minViewLifetime); expires.Before(earliest) {
+		expires = earliest
 	}
-	if expires.Before(v.until) {
-		v.until = expires
+	if expires.Before(v.validUntil) {
+		v.validUntil = expires
 	}
 }
 
-// surpassed tells news that differs from newer news in more than its version:
-// most announcements only renew and are not passed on, so that the instances
-// hold different versions of the same content.
-func surpassed(upstream, by *peerpb.Upstream) bool {
+// superseded reports whether by is newer than upstream and differs in incarnation or
+// leaving. A newer version alone does not count: most announcements are only renewals
+// and are not published, so the instances hold different versions of the same content.
+func superseded(upstream, by *peerpb.Upstream) bool {
 	if by == nil || !older(upstream, by) {
 		return false
 	}
 	return upstream.Incarnation != by.Incarnation || upstream.Leaving != by.Leaving
 }
 
-// SetSelf takes what this instance says of itself.
+// SetSelf sets the state that this instance reports of itself. It overwrites the
+// incarnation and leaving in state, and clears ready while this instance is leaving.
+// Watchers are not notified if only the applied index changed.
 func (r *Registry) SetSelf(state *peerpb.InstanceState) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	state.Incarnation = r.config.Incarnation
 	state.Leaving = r.leaving
 	state.Ready = state.Ready && !r.leaving
-	told := proto.CloneOf(r.self)
-	told.Applied = state.Applied
-	news := !proto.Equal(told, state)
+	previous := proto.CloneOf(r.self)
+	previous.Applied = state.Applied
+	changed := !proto.Equal(previous, state)
 	r.self = state
-	if news {
+	if changed {
 		r.notify()
 	}
 }
 
-// Leave makes this instance say that it stops; it stays said.
+// Leave marks this instance as leaving, which cannot be undone.
 func (r *Registry) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -136,21 +140,21 @@
 	r.notify()
 }
 
-// Self is what this instance last said of itself.
+// Self returns the state that this instance last reported of itself.
 func (r *Registry) Self() *peerpb.InstanceState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.self
 }
 
-// Instances lists this instance and those heard within the window, by name.
+// Instances lists this instance and those heard from within the window, by name.
 func (r *Registry) Instances(window time.Duration) []*peerpb.InstanceState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	live := []*peerpb.InstanceState{r.self}
 	oldest := r.config.Now().Add(-window)
 	for _, o := range r.origins {
-		if o.state != nil && o.heard.After(oldest) {
+		if o.state != nil && o.lastContact.After(oldest) {
 			live = append(live, o.state)
 		}
 	}
