--- a/internal/coordination/membership/detector/detector.go
+++ b/internal/coordination/membership/detector/detector.go
@@ -1,14 +1,14 @@
-// Package detector learns, for each peer, how long its silences are that end by
-// themselves, and from that how long to wait before a silent peer counts as
-// lost. It is pure: durations come in, a delay goes out.
+// Package detector learns from the outages of each peer how long to wait for a peer
+// that sends no messages before it counts as lost. An outage is a period without
+// messages from a peer; it is transient if the peer returns. The package does no I/O
+// and reads no clock: it takes durations and returns a delay.
 //
-// Two rules share the history. Quantile is that of the paper on
-// availability-based methods for distributed storage systems that came with the
-// brief, section 5 (equations 3 and 4): the delay of a peer is where the chance
-// that a silence of that peer, which will end by itself, lasts longer falls to a
-// tolerated one. Cost weighs the same chance against the time that a real loss
-// waits, for each peer by itself. docs/design/failure-detection.md has the
-// measurement by which Cost was chosen.
+// Two rules use the same history. Quantile is the rule of the paper on
+// availability-based methods for distributed storage systems, section 5 (equations 3
+// and 4): the delay of a peer is the duration that a transient outage of that peer
+// exceeds with a tolerated probability. Cost weighs the same probability against the
+// time for which the repair of a real loss is delayed, for each peer separately.
+// docs/design/failure-detection.md has the measurement by which Cost was chosen.
 package detector
 
 import (
@@ -17,106 +17,109 @@
 )
 
 const (
-	// window is how many silences of one peer are remembered.
-	window = 64
-	// poolWindow is how many silences of all peers together are remembered.
+	// peerWindow is the number of most recent outages kept per peer.
+	peerWindow = 64
+	// poolWindow is the number of most recent outages kept of all peers together.
 	poolWindow = 256
-	// fewest is how many silences a peer's own history needs; a peer with less
-	// is judged by all peers together, and those by the first delay.
-	fewest = 8
+	// minSamples is the number of outages needed for an estimate. A peer with fewer
+	// is estimated from those of all peers, and if these are fewer too, Config.First
+	// applies.
+	minSamples = 8
 )
 
-// Config bounds the delays.
+// Config configures a Detector.
 type Config struct {
-	// First is the delay while too little is known.
+	// First is the delay while there are too few samples.
 	First time.Duration
-	// Least and Most bound every delay.
+	// Least and Most are the limits of every delay computed from outages.
 	Least time.Duration
 	Most  time.Duration
 	Rule  Rule
-	// RepairCost is, for Cost, how long a real loss may wait to save one
-	// needless repair.
+	// RepairCost is, for the rule Cost, how long the repair of a real loss may be
+	// delayed to avoid one unnecessary repair.
 	RepairCost time.Duration
 }
 
-// Rule turns a peer's silences into a delay.
+// Rule selects how the delay is computed from a peer's outages.
 type Rule int
 
-// The rules.
+// Cost takes the delay with the least expected cost, Quantile the delay at the
+// tolerated probability of a false alarm.
 const (
 	Cost Rule = iota
 	Quantile
 )
 
-// Detector keeps the silences of peers. One goroutine uses it.
+// Detector keeps the outages of peers. It is not safe for concurrent use.
 type Detector struct {
-	config Config
-	peers  map[string]*history
-	pool   history
-	ended  int
-	lost   int
+	config   Config
+	peers    map[string]*history
+	pool     history
+	returned int
+	lost     int
 }
 
-type history struct{ silences []time.Duration }
+type history struct{ outages []time.Duration }
 
-func (h *history) add(silence time.Duration, limit int) {
-	h.silences = append(h.silences, silence)
-	if len(h.silences) > limit {
-		h.silences = h.silences[1:]
+func (h *history) add(outage time.Duration, limit int) {
+	h.outages = append(h.outages, outage)
+	if len(h.outages) > limit {
+		h.outages = h.outages[1:]
 	}
 }
 
-// New makes a detector that knows nothing yet.
+// New returns a detector without history.
 func New(config Config) *Detector {
 	return &Detector{config: config, peers: map[string]*history{}}
 }
 
-// Returned notes that a peer's silence ended by itself.
-func (d *Detector) Returned(peer string, silence time.Duration) {
+// Returned records a transient outage: the peer answers again.
+func (d *Detector) Returned(peer string, outage time.Duration) {
 	h := d.peers[peer]
 	if h == nil {
 		h = &history{}
 		d.peers[peer] = h
 	}
-	h.add(silence, window)
-	d.pool.add(silence, poolWindow)
-	d.ended++
+	h.add(outage, peerWindow)
+	d.pool.add(outage, poolWindow)
+	d.returned++
 }
 
-// Lost notes that a peer was given up and is no longer one.
+// Lost records that a peer was given up, and discards its history.
 func (d *Detector) Lost(peer string) {
 	delete(d.peers, peer)
 	d.lost++
 }
 
-// Delay is how long the peer may be silent before it counts as lost. Missing is
-// how many of the wanted replicas are away now, this one not counted: the fewer
-// are left, the more needless repairs are worth it.
+// Delay returns the time since the last message after which the peer counts as lost.
+// missing is the number of the wanted replicas that are unavailable now, not counting
+// this one: the fewer are left, the more unnecessary repairs are acceptable.
 func (d *Detector) Delay(peer string, missing, wanted int) time.Duration {
-	silences := d.silences(peer)
-	if silences == nil {
+	outages := d.outagesFor(peer)
+	if outages == nil {
 		return d.config.First
 	}
-	sorted := slices.Sorted(slices.Values(silences))
-	delay := d.cheapest(sorted, missing)
+	sorted := slices.Sorted(slices.Values(outages))
+	delay := d.minCostDelay(sorted, missing)
 	if d.config.Rule == Quantile {
-		at := int(float64(len(sorted)) * (1 - d.tolerated(missing, wanted)))
-		delay = stretch(sorted[min(at, len(sorted)-1)])
+		index := int(float64(len(sorted)) * (1 - d.tolerance(missing, wanted)))
+		delay = withMargin(sorted[min(index, len(sorted)-1)])
 	}
 	return min(max(delay, d.config.Least), d.config.Most)
 }
 
-// cheapest is the delay with the least expected cost: the time that a silence
-// without end waits, and RepairCost for each that would have ended later. Each
-// replica that is missing already makes a wait dearer.
-func (d *Detector) cheapest(sorted []time.Duration, missing int) time.Duration {
-	ends := d.endShare()
+// minCostDelay returns the delay with the least expected cost, which is the time that
+// the repair of a permanent outage is delayed, plus RepairCost for each transient
+// outage that lasts longer than the delay. Each replica that is missing already lowers
+// the cost of a repair, so that waiting weighs more.
+func (d *Detector) minCostDelay(sorted []time.Duration, missing int) time.Duration {
+	returns := d.returnRate()
 	repair := float64(d.config.RepairCost) / float64(1+missing)
-	best, bestCost := time.Duration(0), ends*repair
-	for i, silence := range sorted {
-		delay := stretch(silence)
-		later := float64(len(sorted)-1-i) / float64(len(sorted))
-		cost := (1-ends)*float64(delay) + ends*later*repair
+	best, bestCost := time.Duration(0), returns*repair
+	for i, outage := range sorted {
+		delay := withMargin(outage)
+		longer := float64(len(sorted)-1-i) / float64(len(sorted))
+		cost := (1-returns)*float64(delay) + returns*longer*repair
 		if cost < bestCost {
 			best, bestCost = delay, cost
 		}
@@ -124,35 +127,35 @@
 	return best
 }
 
-func stretch(silence time.Duration) time.Duration { return silence + silence/margin }
+func withMargin(outage time.Duration) time.Duration { return outage + outage/marginDivisor }
 
-// margin is the part added to the longest silence that is waited out, for a
-// sample never shows the longest there is.
-const margin = 4
+// marginDivisor sets the margin added to the longest outage that is waited for, as its
+// fraction 1/marginDivisor: a sample never contains the longest outage possible.
+const marginDivisor = 4
 
-func (d *Detector) silences(peer string) []time.Duration {
-	if h := d.peers[peer]; h != nil && len(h.silences) >= fewest {
-		return h.silences
+func (d *Detector) outagesFor(peer string) []time.Duration {
+	if h := d.peers[peer]; h != nil && len(h.outages) >= minSamples {
+		return h.outages
 	}
-	if len(d.pool.silences) >= fewest {
-		return d.pool.silences
+	if len(d.pool.outages) >= minSamples {
+		return d.pool.outages
 	}
 	return nil
 }
 
-// tolerated is the chance that a silence which will end by itself lasts longer
-// than the delay: the paper's equation 4 with its proposed false alarm
-// probability, half of what is possible, raised by a step for each replica that
-// is missing.
-func (d *Detector) tolerated(missing, wanted int) float64 {
-	ends := d.endShare()
-	falseAlarm := ends/2 + float64(missing)*ends/float64(max(wanted, 1))
-	falseAlarm = min(falseAlarm, ends)
-	return min(1, falseAlarm*(1-ends)/(ends*(1-falseAlarm)))
+// tolerance returns the tolerated probability that a transient outage lasts longer than
+// the delay. It is the paper's equation 4 with the false alarm probability that the
+// paper proposes: half of the largest possible one, raised by a step for each missing
+// replica.
+func (d *Detector) tolerance(missing, wanted int) float64 {
+	returns := d.returnRate()
+	falseAlarm := returns/2 + float64(missing)*returns/float64(max(wanted, 1))
+	falseAlarm = min(falseAlarm, returns)
+	return min(1, falseAlarm*(1-returns)/(returns*(1-falseAlarm)))
 }
 
-// endShare is the share of silences that ended by themselves, with one of each
-// kind added so that it is never 0 or 1.
-func (d *Detector) endShare() float64 {
-	return float64(d.ended+1) / float64(d.ended+d.lost+2)
+// returnRate returns the share of outages that were transient. One outage of each kind
+// is added, so that it is never 0 or 1.
+func (d *Detector) returnRate() float64 {
+	return float64(d.returned+1) / float64(d.returned+d.lost+2)
 }
