--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -22,73 +22,74 @@
 )
 
 const (
-	// passEvery bounds how long news of an upstream waits for a pass.
-	passEvery = 100 * time.Millisecond
-	// idleEvery is the pause while no job is open: then only the inventory can
-	// come due, and everything else comes by way of the log, which wakes at once.
-	idleEvery = time.Second
+	// passInterval is the longest time until a change of an upstream is considered.
+	passInterval = 100 * time.Millisecond
+	// idleInterval is the time between ticks while no job is open: then only inventory
+	// jobs can become due, and all other work arrives through the log, which wakes the
+	// controller immediately.
+	idleInterval = time.Second
 )
 
-// gatherFor is how long answers of workers wait for others before a step, so that those
-// of one gang, or of a wave of jobs, cost one entry.
-const gatherFor = 2 * time.Millisecond
+// batchDelay is how long a step is delayed after a worker's answer, so that the answers
+// of one gang, or of many jobs started together, share one log entry.
+const batchDelay = 2 * time.Millisecond
 
-// plansRefused counts plans that would have broken an invariant.
+// plansRefused counts plans that would have violated an invariant.
 var plansRefused = expvar.NewInt("dispatch_plans_refused")
 
-// Log is what the controller needs of the replicated log.
+// Log is the part of the replicated log that the controller uses.
 type Log interface {
 	Control
 	IsLeader() bool
 	Changed() <-chan struct{}
 }
 
-// Controller is the one goroutine that decides on the leader: inventory, then
-// scheduling, then dispatch, once for all news that has gathered.
+// Controller makes the leader's decisions in one goroutine. Each step runs inventory,
+// scheduling and dispatch in this order, for all changes since the step before.
 type Controller struct {
 	log        Log
 	dispatcher *Dispatcher
 	registry   Registry
 	now        func() time.Time
 	inventory  inventory.Planner
-	passes     passGate
+	passGate   passGate
 	waiting    atomic.Pointer[[]scheduling.Reason]
 	led        bool
-	// newest is the plan before the next one: its cells stay where they are.
-	newest   *scheduling.Plan
-	runTimes *runTimes
-	warmth   warmth.Warmth
-	waits    standing.Watch
-	judged   verdicts
-	open     openWorkflows
+	// lastPlan is the newest plan; the next one keeps its cells in place.
+	lastPlan  *scheduling.Plan
+	runTimes  *runTimes
+	keepWarm  warmth.Warmth
+	waits     standing.Watch
+	verdicts  verdicts
+	workflows openWorkflows
 }
 
-// NewController makes a controller.
+// NewController returns a controller that has made no plan yet.
 func NewController(log Log, dispatcher *Dispatcher, registry Registry, now func() time.Time) *Controller {
 	c := &Controller{log: log, dispatcher: dispatcher, registry: registry, now: now}
-	c.newest = &scheduling.Plan{}
+	c.lastPlan = &scheduling.Plan{}
 	c.runTimes = newRunTimes()
 	c.waiting.Store(&[]scheduling.Reason{})
 	return c
 }
 
-// Waiting lists why jobs waited in the newest pass.
+// Waiting returns the reasons for which jobs waited in the newest pass.
 func (c *Controller) Waiting() []scheduling.Reason { return *c.waiting.Load() }
 
-// Run decides until ctx ends.
+// Run executes ticks until ctx is cancelled.
 func (c *Controller) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		changed := c.log.Changed()
-		c.Turn(ctx)
+		c.Tick(ctx)
 		timer.Reset(c.pause())
 		select {
 		case <-ctx.Done():
 			return
 		case <-changed:
 		case <-c.dispatcher.Wake():
-			control.Pause(ctx, gatherFor)
+			control.Pause(ctx, batchDelay)
 		case <-timer.C:
 		}
 	}
@@ -97,37 +98,37 @@
 func (c *Controller) pause() time.Duration {
 	state := c.log.State()
 	if c.led && state.Active() == 0 && !recurrence.Awaited(state) {
-		return idleEvery
+		return idleInterval
 	}
-	return passEvery
+	return passInterval
 }
 
-// Turn takes one step if this instance leads. What an earlier term remembered is
-// dropped at the first step of a new one.
-func (c *Controller) Turn(ctx context.Context) {
-	term := c.dispatcher.leadership()
+// Tick runs one step if this instance leads. Data kept from an earlier term is
+// discarded at the first step of a new one.
+func (c *Controller) Tick(ctx context.Context) {
+	term := c.dispatcher.currentTerm()
 	leads := c.log.IsLeader()
 	if leads && (!c.led || term != c.dispatcher.term) {
 		c.dispatcher.Reset(term)
 		c.inventory = inventory.Planner{}
-		c.passes = passGate{}
+		c.passGate = passGate{}
 		c.waits = standing.Watch{}
-		c.newest.Standing = nil
+		c.lastPlan.Standing = nil
 	}
 	if c.led && !leads {
-		tellStanding(standing.Summary{})
-		c.nowJudged(nil)
+		publishStarvation(standing.Summary{})
+		c.setVerdicts(nil)
 	}
 	c.led = leads
 	if !leads {
-		c.dispatcher.Follow()
+		c.dispatcher.ObserveStops()
 		return
 	}
 	c.step(ctx)
 }
 
 func (c *Controller) step(ctx context.Context) {
-	c.open.look(c.log.State(), c.dispatcher.config.Logger)
+	c.workflows.update(c.log.State(), c.dispatcher.config.Logger)
 	if due := c.inventory.Due(c.log.State(), c.now()); len(due) > 0 {
 		command := &controlpb.Command{Op: &controlpb.Command_SubmitJobs{SubmitJobs: &controlpb.SubmitJobs{Jobs: due}}}
 		if !c.propose(ctx, command) {
@@ -140,91 +141,94 @@
 			return
 		}
 	}
-	// The announcements are read before leadership is confirmed, which Reconcile
-	// counts on.
+	// Reconcile requires that the announcements are read before leadership is confirmed.
 	live := c.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER)
 	c.schedule(ctx, live)
 	c.dispatcher.Reconcile(ctx, live)
 }
 
-// propose bounds how long a log without a quorum holds the controller. What was
-// not committed is decided again by a later step.
+// propose commits a command and reports whether it took effect. It waits at most
+// proposeTimeout, because a log may have no quorum; a later step decides again on what
+// was not committed.
 func (c *Controller) propose(ctx context.Context, command *controlpb.Command) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	command.DecidedIn = c.dispatcher.term
 	result, err := c.log.Propose(ctx, command)
-	c.dispatcher.logRefusal(result, err)
+	c.dispatcher.logFailedProposal(result, err)
 	return err == nil && result.GetCode() == ""
 }
 
 func (c *Controller) schedule(ctx context.Context, live []*peerpb.Upstream) {
 	state := c.log.State()
-	workers, probing := c.judge(state, live)
-	if !c.passes.open(state.Index(), workers, c.now()) {
+	workers, probing := c.evaluateWorkers(state, live)
+	if !c.passGate.admit(state.Index(), workers, c.now()) {
 		return
 	}
 	snapshot := c.snapshot(state, workers)
-	c.passes.expect(snapshot.Jobs)
+	c.passGate.expectBackoffEnds(snapshot.Jobs)
 	plan := scheduling.Pass(snapshot)
-	c.newest = plan
+	c.lastPlan = plan
 	c.waiting.Store(&plan.Waiting)
 	if plan.Breach != nil {
 		plansRefused.Add(1)
 	}
-	c.passes.expectStanding(plan)
-	c.watchWaits(state, snapshot, plan)
+	c.passGate.expectStarvation(plan)
+	c.reportWaits(state, snapshot, plan)
 	assignments := quarantine.Limit(plan.Assignments, func(worker string) bool { return probing[worker] })
-	c.dispatcher.logLeftOut(plan.Assignments, assignments, "a worker is probed by another job")
-	heard := c.toHeardWorkers(assignments)
-	c.dispatcher.logLeftOut(assignments, heard, "a worker has not been heard in this leadership")
-	assignments = heard
+	c.dispatcher.logDropped(plan.Assignments, assignments, "a worker is being probed with another job")
+	announced := c.toAnnouncedWorkers(assignments)
+	c.dispatcher.logDropped(assignments, announced, "a worker has not announced itself in the current term")
+	assignments = announced
 	if len(assignments) == 0 && len(plan.Preemptions) == 0 {
 		return
 	}
-	c.addressStarts(assignments)
+	c.setIncarnations(assignments)
 	commit := &controlpb.CommitPlan{Assignments: assignments, Preemptions: plan.Preemptions}
 	c.dispatcher.logPlan(state, commit, c.registry, c.waits.Waited)
 	c.propose(ctx, &controlpb.Command{Op: &controlpb.Command_Plan{Plan: commit}})
 }
 
-// watchWaits tells of the work that the plan leaves waiting, and of what stands.
-func (c *Controller) watchWaits(state *store.State, snapshot *scheduling.Snapshot, plan *scheduling.Plan) {
-	told, warned, summary := c.waits.Look(snapshot.Now, snapshot.Jobs, plan)
-	tellStanding(summary)
-	c.dispatcher.logWaits(state, told, warned)
+// reportWaits logs the jobs that the plan leaves waiting and publishes the metrics of
+// the starved ones.
+func (c *Controller) reportWaits(state *store.State, snapshot *scheduling.Snapshot, plan *scheduling.Plan) {
+	toLog, toWarn, summary := c.waits.Look(snapshot.Now, snapshot.Jobs, plan)
+	publishStarvation(summary)
+	c.dispatcher.logWaits(state, toLog, toWarn)
 }
 
-// toHeardWorkers leaves out what would go to a worker that has not announced itself in
-// this leadership. The leader before may have seen it vanish: its start would wait for an
-// announcement all the same, and end as an attempt of the job. A later pass decides anew.
-func (c *Controller) toHeardWorkers(assignments []*controlpb.Assignment) []*controlpb.Assignment {
+// toAnnouncedWorkers drops assignments that use a worker which has not announced itself
+// in the current term. The previous leader may have seen that worker disappear; the start
+// would wait for an announcement anyway and then count as a failed attempt of the job. A
+// later pass decides again.
+func (c *Controller) toAnnouncedWorkers(assignments []*controlpb.Assignment) []*controlpb.Assignment {
 	if c.dispatcher.config.LeaseOver != nil {
 		return assignments
 	}
 	now := c.now()
-	unheard := func(p *controlpb.Placement) bool { return !c.dispatcher.machine.Heard(p.Worker, now) }
-	var heard []*controlpb.Assignment
+	unannounced := func(p *controlpb.Placement) bool { return !c.dispatcher.machine.Heard(p.Worker, now) }
+	var announced []*controlpb.Assignment
 	for _, assignment := range assignments {
-		if !slices.ContainsFunc(assignment.Placements, unheard) {
-			heard = append(heard, assignment)
+		if !slices.ContainsFunc(assignment.Placements, unannounced) {
+			announced = append(announced, assignment)
 		}
 	}
-	if len(heard) < len(assignments) {
-		c.passes = passGate{}
+	if len(announced) < len(assignments) {
+		c.passGate = passGate{}
 	}
-	return heard
+	return announced
 }
 
-// judge lists the live workers as scheduling sees them, and those that may be
-// given one job as a probe: none while such a job is on it.
-func (c *Controller) judge(state *store.State, live []*peerpb.Upstream) (workers []scheduling.Worker, probing map[string]bool) {
+// evaluateWorkers converts the live workers to the input of scheduling, and returns the
+// set of quarantined workers that may be given one job as a probe. A worker that already
+// holds a task is not probed.
+func (c *Controller) evaluateWorkers(state *store.State, live []*peerpb.Upstream) (workers []scheduling.Worker, probing map[string]bool) {
 	probing = map[string]bool{}
-	judged := verdicts{}
+	current := verdicts{}
 	workers = make([]scheduling.Worker, 0, len(live))
 	speeds := c.dispatcher.speeds()
-	// Most often no worker is probed, and nobody asks which hold tasks.
-	holding := sync.OnceValue(func() map[string]bool { return holdingTasks(state) })
+	// Computed only on demand: usually no worker is due for a probe.
+	holding := sync.OnceValue(func() map[string]bool { return workersHoldingTasks(state) })
 	for _, worker := range live {
 		verdict := c.dispatcher.verdict(state, worker.Id)
 		if verdict == quarantine.Probing && holding()[worker.Id] {
@@ -233,11 +237,11 @@
 		if verdict == quarantine.Probing {
 			probing[worker.Id] = true
 		}
-		refused := verdict == quarantine.CoolingDown || verdict == quarantine.Quarantined
+		excluded := verdict == quarantine.CoolingDown || verdict == quarantine.Quarantined
 		if verdict != quarantine.Healthy {
-			judged[worker.Id] = verdict
+			current[worker.Id] = verdict
 		}
-		if verdict != c.judged[worker.Id] {
+		if verdict != c.verdicts[worker.Id] {
 			c.dispatcher.logVerdict(state, worker.Id, verdict)
 		}
 		workers = append(workers, scheduling.Worker{
@@ -251,23 +255,23 @@
 			MemoryMB:     worker.MemoryMb,
 			Accelerators: worker.Accelerators,
 			Speed:        speeds[worker.Id],
-			Unavailable:  worker.Leaving || state.Drained(worker.Id) || refused,
+			Unavailable:  worker.Leaving || state.Drained(worker.Id) || excluded,
 		})
 	}
-	c.nowJudged(judged)
+	c.setVerdicts(current)
 	return workers, probing
 }
 
-// nowJudged takes over newer verdicts, and tells their numbers where they have changed.
-func (c *Controller) nowJudged(judged verdicts) {
-	if !maps.Equal(judged, c.judged) {
-		judged.tell()
+// setVerdicts stores the verdicts and publishes their counts if any has changed.
+func (c *Controller) setVerdicts(current verdicts) {
+	if !maps.Equal(current, c.verdicts) {
+		current.publish()
 	}
-	c.judged = judged
+	c.verdicts = current
 }
 
-// addressStarts notes for which start of its worker each task is meant.
-func (c *Controller) addressStarts(assignments []*controlpb.Assignment) {
+// setIncarnations records in each placement the incarnation of its worker.
+func (c *Controller) setIncarnations(assignments []*controlpb.Assignment) {
 	for _, assignment := range assignments {
 		for _, placement := range assignment.Placements {
 			if worker, ok := c.registry.Get(placement.Worker); ok {
@@ -277,10 +281,10 @@
 	}
 }
 
-// holdingTasks lists the workers that hold tasks of open jobs, for all workers at once: a
-// cut leaves hundreds of workers to be probed, and a look at all jobs for each of them
-// would hold up every step.
-func holdingTasks(state *store.State) map[string]bool {
+// workersHoldingTasks returns the set of workers that hold tasks of open jobs. It is built
+// once for all workers: after a network partition hundreds of workers are due for a probe,
+// and a scan of all jobs for each of them would delay every step.
+func workersHoldingTasks(state *store.State) map[string]bool {
 	holding := map[string]bool{}
 	for _, job := range state.ActiveJobs() {
 		for _, placement := range job.Placements {
@@ -298,10 +302,10 @@
 		Jobs:      jobs,
 		Customers: map[string]*controlpb.Customer{},
 		Rules:     state.Rules(),
-		Warm:      c.warmth.Look(jobs, c.now()),
-		RunTimes:  c.runTimes.upTo(state),
+		Warm:      c.keepWarm.Look(jobs, c.now()),
+		RunTimes:  c.runTimes.update(state),
 	}
-	snapshot.GoOnFrom(c.newest)
+	snapshot.GoOnFrom(c.lastPlan)
 	for _, customer := range state.Customers() {
 		snapshot.Customers[customer.Name] = customer
 	}
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -1,6 +1,7 @@
-// Package dispatch carries out the plans: it reserves and starts gangs, stops
-// them, and records what became of them. It runs on the leader. The decisions
-// are in package gang; here are the sockets, the log and the clock around them.
+// Package dispatch executes scheduling plans on the leader: it reserves, starts and
+// stops gangs and records the outcome of their tasks. The decisions are made by the
+// state machine of package gang; this package does its network I/O, commits its moves
+// to the replicated log and supplies the clock.
 package dispatch
 
 import (
@@ -21,85 +22,86 @@
 )
 
 const (
-	// maxInFlight bounds the commands on their way: two starts of the largest gang
-	// at once, and few enough that their answers are taken in promptly.
-	maxInFlight = 256
-	// proposeTimeout keeps a log without a quorum from holding the controller.
+	// maxCommandsInFlight limits concurrent commands to workers: enough to start two
+	// gangs of the largest size at once, and few enough to process their answers promptly.
+	maxCommandsInFlight = 256
+	// proposeTimeout limits how long a log without a quorum blocks the controller.
 	proposeTimeout = 2 * time.Second
 )
 
 var (
-	commandsSent   = expvar.NewInt("dispatch_commands")
-	commandsFailed = expvar.NewInt("dispatch_commands_failed")
-	movesProposed  = expvar.NewInt("dispatch_moves")
-	batchesLost    = expvar.NewInt("dispatch_batches_uncommitted")
+	commandsSent       = expvar.NewInt("dispatch_commands")
+	commandsFailed     = expvar.NewInt("dispatch_commands_failed")
+	movesProposed      = expvar.NewInt("dispatch_moves")
+	batchesUncommitted = expvar.NewInt("dispatch_batches_uncommitted")
 )
 
-// Control is the replicated log as dispatch uses it.
+// Control is the part of the replicated log that dispatch uses.
 type Control interface {
 	State() *store.State
-	// Fresh fails when this instance's leadership was not confirmed within the
-	// freshness bound.
+	// Fresh returns an error if this instance's leadership was not confirmed within
+	// the freshness bound.
 	Fresh() error
 	Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error)
 }
 
-// Workers sends commands to workers.
+// Workers sends commands to workers and returns their answers.
 type Workers interface {
 	Command(ctx context.Context, address, path string, command *api.TaskCommand) (*api.TaskAnswer, error)
 }
 
-// Registry knows where workers are.
+// Registry looks up upstreams by id and lists the live ones of a kind.
 type Registry interface {
 	Get(id string) (*peerpb.Upstream, bool)
 	Live(kind peerpb.UpstreamKind) []*peerpb.Upstream
 }
 
-// Config of dispatch.
+// Config configures a Dispatcher.
 type Config struct {
 	Gang       gang.Config
 	Quarantine quarantine.Config
-	// LeaseOver is gang.Input's; nil where workers renew leases themselves.
+	// LeaseOver is passed to gang.Input.LeaseOver; nil if workers renew their leases
+	// by announcements.
 	LeaseOver func(worker string) bool
-	// MayLead is false for an instance without the log, which notes nothing while others
-	// lead.
+	// MayLead is false for an instance that has no log replica and never leads; it does
+	// not track stops while other instances lead.
 	MayLead bool
-	// Speeds gives what is known of the workers' speeds; nil where nothing is.
+	// Speeds returns the known relative speeds by worker id; nil if none are measured.
 	Speeds func() map[string]float64
-	// Wakeups is a channel of one that others fill when there is news for dispatch;
-	// nil where the answers to its commands are all there is.
+	// Wakeups is a channel with a buffer of one, to which other components send when
+	// Reconcile should run; nil if only answers to commands wake the dispatcher.
 	Wakeups chan struct{}
-	// Term numbers the leadership of this instance; nil where decisions are not
-	// bound to it.
+	// Term returns the term in which this instance leads; nil if decisions are not
+	// tied to a term.
 	Term func() uint64
-	// Logger gets a line for each decision on a job; nil for none.
+	// Logger receives a line for each decision on a job; nil disables logging.
 	Logger *logrus.Logger
 	Now    func() time.Time
 }
 
-// Dispatcher brings the workers in line with the control state.
+// Dispatcher reconciles the tasks on the workers with the control state.
 type Dispatcher struct {
 	config  Config
 	control Control
 	workers Workers
 	machine *gang.Machine
-	// term is the leadership that the machine's beliefs belong to.
-	term    uint64
-	limit   chan struct{}
-	wake    chan struct{}
-	mu      sync.Mutex
-	answers []gang.Answer
+	// term is the leader's term to which the machine's observations belong.
+	term     uint64
+	inFlight chan struct{}
+	wake     chan struct{}
+	mu       sync.Mutex
+	answers  []gang.Answer
 }
 
-// New makes a dispatcher.
+// New returns a dispatcher that has observed no workers yet.
 func New(config Config, control Control, workers Workers) *Dispatcher {
 	d := &Dispatcher{
-		config:  config,
-		control: control,
-		workers: workers,
-		machine: gang.New(config.Gang),
-		limit:   make(chan struct{}, maxInFlight),
-		wake:    config.Wakeups,
+		config:   config,
+		control:  control,
+		workers:  workers,
+		machine:  gang.New(config.Gang),
+		inFlight: make(chan struct{}, maxCommandsInFlight),
+		wake:     config.Wakeups,
 	}
 	if d.wake == nil {
 		d.wake = make(chan struct{}, 1)
@@ -107,11 +109,11 @@
 	return d
 }
 
-// Wake is ready when answers have come that Reconcile should look at.
+// Wake returns a channel that becomes readable when answers are ready for Reconcile.
 func (d *Dispatcher) Wake() <-chan struct{} { return d.wake }
 
-// leadership is the term of this instance, or 0 where terms do not matter.
-func (d *Dispatcher) leadership() uint64 {
+// currentTerm returns the term of this instance, or 0 if decisions are not tied to one.
+func (d *Dispatcher) currentTerm() uint64 {
 	if d.config.Term == nil {
 		return 0
 	}
@@ -125,28 +127,29 @@
 	return d.config.Speeds()
 }
 
-// Reset begins a new term: what other leaders did in the meantime is seen from the log
-// and the workers' reports.
+// Reset starts a new term and discards unprocessed answers. What other leaders did in
+// the meantime is observed from the log and the workers' reports.
 func (d *Dispatcher) Reset(term uint64) {
 	d.term = term
 	d.machine = d.machine.NextTerm()
-	d.takeAnswers()
+	d.drainAnswers()
 }
 
-// Follow notes what the log says while another instance leads. Where a lease is known to
-// be over by other means than a wait there is nothing to note, nor where this instance
-// never leads: an entry instance has a fifth of a core, and goes through no jobs for it.
-func (d *Dispatcher) Follow() {
+// ObserveStops records stops from the log while another instance leads, so that this
+// instance doesn't restart their waits when it becomes the leader. It does nothing if
+// expired leases are known by other means than waiting, or if this instance never leads:
+// an entry instance has a fifth of a core, too little to scan all jobs for no purpose.
+func (d *Dispatcher) ObserveStops() {
 	if d.config.MayLead && d.config.LeaseOver == nil {
 		d.machine.Follow(d.config.Now(), d.control.State().ActiveJobs())
 	}
 }
 
-// Reconcile takes one step for all active jobs: it sends commands without waiting
-// for their answers, and commits all moves in one entry. It is called by one
-// goroutine only. The workers' announcements must have been read before the call:
-// leadership is looked at after them, and gang.StopWait counts on a command that
-// names an announcement no newer than a moment at which this instance surely led.
+// Reconcile runs one step for all active jobs: it sends commands without waiting for
+// their answers and commits all moves in one log entry. It must be called by one
+// goroutine only. The caller must read the workers' announcements before the call,
+// because leadership is checked after them: gang.StopWait assumes that the announcement
+// named by a command is not newer than a time at which this instance certainly led.
 func (d *Dispatcher) Reconcile(ctx context.Context, workers []*peerpb.Upstream) {
 	if d.control.Fresh() != nil {
 		return
@@ -156,7 +159,7 @@
 		Now:         d.config.Now(),
 		Jobs:        state.ActiveJobs(),
 		Workers:     workers,
-		Answers:     d.takeAnswers(),
+		Answers:     d.drainAnswers(),
 		Quarantined: func(worker string) bool { return d.verdict(state, worker) >= quarantine.Quarantined },
 		LeaseOver:   d.config.LeaseOver,
 	})
@@ -167,18 +170,19 @@
 }
 
 func (d *Dispatcher) verdict(state *store.State, worker string) quarantine.Verdict {
-	return quarantine.Of(d.config.Quarantine, state.Health(worker), later(d.config.Now(), state.Time()))
+	return quarantine.Of(d.config.Quarantine, state.Health(worker), latest(d.config.Now(), state.Time()))
 }
 
-// later keeps a leader whose clock is behind from seeing failures in its future.
-func later(a, b time.Time) time.Time {
+// latest returns the later of two times, so that recorded failures are never in the
+// future of a leader whose clock is behind.
+func latest(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
 	}
 	return a
 }
 
-func (d *Dispatcher) takeAnswers() []gang.Answer {
+func (d *Dispatcher) drainAnswers() []gang.Answer {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	answers := d.answers
@@ -192,10 +196,11 @@
 	gang.Stop:    api.PathTaskStop,
 }
 
-// send carries one command to its worker and always leaves an answer.
+// send sends one command to its worker and always records an answer; a failed call is
+// recorded as an answer with an error.
 func (d *Dispatcher) send(ctx context.Context, command gang.Command) {
-	d.limit <- struct{}{}
-	defer func() { <-d.limit }()
+	d.inFlight <- struct{}{}
+	defer func() { <-d.inFlight }()
 	ctx, cancel := context.WithTimeout(ctx, d.config.Gang.CommandTimeout)
 	defer cancel()
 	commandsSent.Add(1)
@@ -219,8 +224,8 @@
 	}
 }
 
-// commit proposes the moves. If that fails, the next step makes them again from
-// the state as it is then; epochs and states refuse what came twice.
+// commit proposes the moves. If that fails, the next step derives them again from the
+// state at that time; checks of epoch and job state reject duplicate moves.
 func (d *Dispatcher) commit(ctx context.Context, batch *controlpb.BatchMove) {
 	if batch == nil {
 		return
@@ -231,8 +236,8 @@
 	defer cancel()
 	command := &controlpb.Command{DecidedIn: d.term, Op: &controlpb.Command_BatchMove{BatchMove: batch}}
 	result, err := d.control.Propose(ctx, command)
-	d.logRefusal(result, err)
+	d.logFailedProposal(result, err)
 	if err != nil {
-		batchesLost.Add(1)
+		batchesUncommitted.Add(1)
 	}
 }
--- a/internal/coordination/dispatch/dispatch_test.go
+++ b/internal/coordination/dispatch/dispatch_test.go
@@ -20,22 +20,22 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// fakeLog is a log of one instance, in memory.
+// fakeLog is an in-memory log of a single instance.
 type fakeLog struct {
 	state     *store.State
 	stale     bool
-	follows   bool
+	follower  bool
 	proposals int
 	changed   chan struct{}
 }
 
 func (l *fakeLog) State() *store.State      { return l.state }
-func (l *fakeLog) IsLeader() bool           { return !l.follows }
+func (l *fakeLog) IsLeader() bool           { return !l.follower }
 func (l *fakeLog) Changed() <-chan struct{} { return l.changed }
 
 func (l *fakeLog) Fresh() error {
 	if l.stale {
-		return failure.New(failure.StaleState, "nobody confirms")
+		return failure.New(failure.StaleState, "leadership not confirmed by a quorum")
 	}
 	return nil
 }
@@ -48,7 +48,7 @@
 	return result, nil
 }
 
-// fakeWorkers obey at once and count.
+// fakeWorkers executes every command immediately and counts commands by path.
 type fakeWorkers struct {
 	mu       sync.Mutex
 	commands map[string]int
@@ -62,7 +62,7 @@
 	return &api.TaskAnswer{Phase: phases[path]}, nil
 }
 
-// fakeRegistry knows one worker, which announces itself between any two looks.
+// fakeRegistry has one worker, with a new announcement at every call of Live.
 type fakeRegistry struct{ upstream *peerpb.Upstream }
 
 func (r *fakeRegistry) Get(string) (*peerpb.Upstream, bool) { return r.upstream, true }
@@ -73,7 +73,7 @@
 	return []*peerpb.Upstream{r.upstream}
 }
 
-func control() (*fakeLog, *fakeWorkers, *dispatch.Dispatcher, *dispatch.Controller) {
+func newTestController() (*fakeLog, *fakeWorkers, *dispatch.Dispatcher, *dispatch.Controller) {
 	log := &fakeLog{state: store.New(), changed: make(chan struct{})}
 	workers := &fakeWorkers{commands: map[string]int{}}
 	registry := &fakeRegistry{upstream: &peerpb.Upstream{Id: "w", Cores: 8, MemoryMb: 1000, Accelerators: 8, Version: 1}}
@@ -98,12 +98,12 @@
 	}}})
 }
 
-// An instance leads until it notices that no quorum confirms it. Its commands in
-// that time would be outside of what the wait for leases counts on.
+// A leader whose leadership is no longer confirmed by a quorum must send no commands: the
+// wait for expired leases does not cover commands sent in that time.
 func TestUnconfirmedLeaderSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, workers, dispatcher, _ := control()
+		log, workers, dispatcher, _ := newTestController()
 		live := []*peerpb.Upstream{{Id: "w", Version: 1}}
 		submit(log, "j")
 		assign(log)
@@ -114,7 +114,7 @@
 		log.stale = false
 		dispatcher.Reconcile(t.Context(), live)
 		synctest.Wait()
-		is.Equal(len(workers.commands), 0) // the announcement may be of any age
+		is.Equal(len(workers.commands), 0) // the age of the announcement is unknown
 		live = []*peerpb.Upstream{{Id: "w", Version: 2}}
 		dispatcher.Reconcile(t.Context(), live)
 		synctest.Wait()
@@ -122,12 +122,12 @@
 	})
 }
 
-// A wave of jobs arrives at once: one entry places them all, and one records
-// that they run, whatever their number.
+// Many jobs are submitted at once: one log entry places them all and one records that
+// they run, regardless of their number.
 func TestWaveCostsFewEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, workers, _, controller := control()
+		log, workers, _, controller := newTestController()
 		submit(log, "a", "b", "c", "d", "e", "f", "g", "h")
 		before := log.proposals
 		go controller.Run(t.Context())
@@ -141,51 +141,50 @@
 	})
 }
 
-// A stop that waits for a silent worker's lease, and an instance that followed the log
-// all the while and leads now: it must not wait for the lease once more.
-func TestNewLeaderGoesOnWithAStopThatItFollowed(t *testing.T) {
+// A stop waits for the lease of a worker that no longer responds to expire. An instance that
+// followed the log during that wait and then becomes the leader must not restart it.
+func TestNewLeaderContinuesObservedStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, _, _, controller := control()
+		log, _, _, controller := newTestController()
 		stopping := &controlpb.Job{
 			Id: "j", Tasks: 1, Accelerators: 1, Epoch: 1, Idempotent: true, StartedMs: 1,
 			State: controlpb.JobState_JOB_STATE_STOPPING, NextState: controlpb.JobState_JOB_STATE_WAITING,
 			Placements: []*controlpb.Placement{{Worker: "gone", Accelerators: []uint32{0}}},
 		}
 		log.state = store.Restore(&controlpb.Snapshot{Jobs: []*controlpb.Job{stopping}})
-		log.follows = true
-		controller.Turn(t.Context())
+		log.follower = true
+		controller.Tick(t.Context())
 		time.Sleep(15 * time.Second)
-		log.follows = false
-		controller.Turn(t.Context())
+		log.follower = false
+		controller.Tick(t.Context())
 		synctest.Wait()
 		job, _ := log.state.Job("j")
 		is.True(job.State != controlpb.JobState_JOB_STATE_STOPPING)
 	})
 }
 
-// silentRegistry knows a worker that announced itself before this instance led, and not
-// since.
-type silentRegistry struct{ upstream *peerpb.Upstream }
+// staleRegistry has a worker that announced itself before this instance led, and not since.
+type staleRegistry struct{ upstream *peerpb.Upstream }
 
-func (r silentRegistry) Get(string) (*peerpb.Upstream, bool) { return r.upstream, true }
+func (r staleRegistry) Get(string) (*peerpb.Upstream, bool) { return r.upstream, true }
 
-func (r silentRegistry) Live(peerpb.UpstreamKind) []*peerpb.Upstream {
+func (r staleRegistry) Live(peerpb.UpstreamKind) []*peerpb.Upstream {
 	return []*peerpb.Upstream{r.upstream}
 }
 
-// An attempt of a job that a new leader spends on a worker which the leader before it had
-// seen vanish.
+// A new leader places a job on a worker that the previous leader had seen disappear, and
+// the job loses an attempt.
 func TestNewLeaderPlacesNothingOnAWorkerThatItHasNotHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		log, _, dispatcher, _ := control()
+		log, _, dispatcher, _ := newTestController()
 		worker := &peerpb.Upstream{Id: "w", Cores: 8, MemoryMb: 1000, Accelerators: 8, Version: 1}
-		registry := &silentRegistry{worker}
+		registry := &staleRegistry{worker}
 		controller := dispatch.NewController(log, dispatcher, registry, time.Now)
 		submit(log, "j")
 		for range 10 {
-			controller.Turn(t.Context())
+			controller.Tick(t.Context())
 			time.Sleep(100 * time.Millisecond)
 		}
 		job, _ := log.state.Job("j")
@@ -193,7 +192,7 @@
 		registry.upstream = proto.CloneOf(worker)
 		registry.upstream.Version++
 		for range 2 {
-			controller.Turn(t.Context())
+			controller.Tick(t.Context())
 			time.Sleep(100 * time.Millisecond)
 		}
 		job, _ = log.state.Job("j")
@@ -201,18 +200,18 @@
 	})
 }
 
-// manyWorkers is a registry of idle workers.
-type manyWorkers struct{ list []*peerpb.Upstream }
+// idleRegistry has any number of idle workers, which do not announce themselves again.
+type idleRegistry struct{ list []*peerpb.Upstream }
 
-func (r *manyWorkers) Get(string) (*peerpb.Upstream, bool)         { return r.list[0], true }
-func (r *manyWorkers) Live(peerpb.UpstreamKind) []*peerpb.Upstream { return r.list }
+func (r *idleRegistry) Get(string) (*peerpb.Upstream, bool)         { return r.list[0], true }
+func (r *idleRegistry) Live(peerpb.UpstreamKind) []*peerpb.Upstream { return r.list }
 
-// BenchmarkIdleTurn is one turn of a leader that has nothing to do; it takes ten a
-// second.
+// BenchmarkIdleTurn measures one tick of a leader that has nothing to do; it runs ten
+// ticks a second.
 func BenchmarkIdleTurn(b *testing.B) {
 	for _, size := range []int{50, 1900} {
 		b.Run(fmt.Sprint("workers=", size), func(b *testing.B) {
-			registry := &manyWorkers{}
+			registry := &idleRegistry{}
 			for i := range size {
 				registry.list = append(registry.list, &peerpb.Upstream{Id: fmt.Sprint("w", i), Accelerators: 1})
 			}
@@ -222,7 +221,7 @@
 			controller := dispatch.NewController(log, dispatcher, registry, time.Now)
 			b.ReportAllocs()
 			for b.Loop() {
-				controller.Turn(b.Context())
+				controller.Tick(b.Context())
 			}
 		})
 	}
--- a/internal/coordination/dispatch/judge_test.go
+++ b/internal/coordination/dispatch/judge_test.go
@@ -14,17 +14,18 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-var judged = time.Unix(1_000_000, 0)
+var evaluatedAt = time.Unix(1_000_000, 0)
 
-// stalled are workers on which work stood still a while ago, so that each may be probed,
-// and a state with that many jobs, one task each: job i runs on worker i, the others wait.
-func stalled(workers, jobs int) (*Controller, *store.State, []*peerpb.Upstream) {
+// stalledWorkers returns workers on which work has stalled one minute ago, so that each is
+// due for a probe, and a state with the given number of jobs of one task each: job i runs
+// on worker i for the first half of the workers, the other jobs wait.
+func stalledWorkers(workers, jobs int) (*Controller, *store.State, []*peerpb.Upstream) {
 	snapshot := &controlpb.Snapshot{}
 	var live []*peerpb.Upstream
 	for i := range workers {
 		id := fmt.Sprint("w", i)
 		live = append(live, &peerpb.Upstream{Id: id})
-		failed := &controlpb.WorkerFailure{Job: "x", Code: string(failure.Stalled), TimeMs: judged.Add(-time.Minute).UnixMilli()}
+		failed := &controlpb.WorkerFailure{Job: "x", Code: string(failure.Stalled), TimeMs: evaluatedAt.Add(-time.Minute).UnixMilli()}
 		snapshot.Health = append(snapshot.Health, &controlpb.WorkerHealth{Worker: id, Consecutive: 1, Failures: []*controlpb.WorkerFailure{failed}})
 	}
 	for i := range jobs {
@@ -35,16 +36,16 @@
 		}
 		snapshot.Jobs = append(snapshot.Jobs, job)
 	}
-	now := func() time.Time { return judged }
+	now := func() time.Time { return evaluatedAt }
 	config := Config{Now: now, Quarantine: quarantine.Config{CoolDown: time.Second, Probe: 30 * time.Second}}
 	return NewController(nil, New(config, nil, nil), nil, now), store.Restore(snapshot), live
 }
 
-// A worker on which work stood still may be tried with one job. While that job is on it,
-// it gets no other: a second one would hang beside the first.
-func TestAWorkerIsProbedWithOneJobAtATime(t *testing.T) {
-	controller, state, live := stalled(4, 4)
-	workers, probing := controller.judge(state, live)
+// A worker on which work has stalled is probed with one job. While it holds that job it
+// gets no other, as a second one would probably stall too.
+func TestWorkerIsProbedWithOneJobAtATime(t *testing.T) {
+	controller, state, live := stalledWorkers(4, 4)
+	workers, probing := controller.evaluateWorkers(state, live)
 	for i, worker := range workers {
 		held := i < 2
 		if worker.Unavailable != held || probing[worker.ID] == held {
@@ -53,22 +54,22 @@
 	}
 }
 
-// Workers get no work for their failures, and no figure says how many.
-func TestWorkersWithoutWorkAreCounted(t *testing.T) {
+// Workers are excluded because of their failures, and no metric shows how many.
+func TestWorkersAreCountedByVerdict(t *testing.T) {
 	is := is.New(t)
-	controller, state, live := stalled(4, 4)
-	controller.judge(state, live)
-	is.Equal(workersJudged.Get("probing").String(), "2")
-	is.Equal(workersJudged.Get("quarantined").String(), "2")
-	controller.judge(state, live[:1])
-	is.Equal(workersJudged.Get("probing").String(), "0")
+	controller, state, live := stalledWorkers(4, 4)
+	controller.evaluateWorkers(state, live)
+	is.Equal(workerVerdicts.Get("probing").String(), "2")
+	is.Equal(workerVerdicts.Get("quarantined").String(), "2")
+	controller.evaluateWorkers(state, live[:1])
+	is.Equal(workerVerdicts.Get("probing").String(), "0")
 }
 
-// BenchmarkJudge reports the look at 350 workers that may all be probed, as after a cut of
-// the network, with 2,800 open jobs.
+// BenchmarkJudge measures the evaluation of 350 workers that are all due for a probe, as
+// after a network partition, with 2,800 open jobs.
 func BenchmarkJudge(b *testing.B) {
-	controller, state, live := stalled(350, 2800)
+	controller, state, live := stalledWorkers(350, 2800)
 	for b.Loop() {
-		controller.judge(state, live)
+		controller.evaluateWorkers(state, live)
 	}
 }
--- a/internal/coordination/dispatch/lines.go
+++ b/internal/coordination/dispatch/lines.go
@@ -10,8 +10,8 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// logMoves writes a line for each change of a job's state that is about to be
-// committed; the ends of tasks that ended well are counted and not written.
+// logMoves logs each change of a job's state that is about to be committed. Moves to
+// RUNNING, which also record completed tasks of a running job, are counted but not logged.
 func (d *Dispatcher) logMoves(batch *controlpb.BatchMove) {
 	if d.config.Logger == nil {
 		return
@@ -33,14 +33,14 @@
 	}
 }
 
-// logPlan writes a line for each job that a pass places or preempts.
+// logPlan logs each job that a pass places or preempts.
 func (d *Dispatcher) logPlan(state *store.State, plan *controlpb.CommitPlan, registry Registry, waited func(job string, now time.Time) time.Duration) {
 	if d.config.Logger == nil {
 		return
 	}
 	for _, assignment := range plan.Assignments {
-		fields := d.inputsOf(state, assignment)
-		fields["racks"] = racksOf(assignment, registry)
+		fields := d.placementFields(state, assignment)
+		fields["racks"] = countRacks(assignment, registry)
 		fields["able_ms"] = waited(assignment.Job, d.config.Now()).Milliseconds()
 		fields["job"], fields["epoch"], fields["index"] = assignment.Job, assignment.Epoch+1, state.Index()
 		d.config.Logger.WithFields(fields).Info("job placed")
@@ -52,9 +52,9 @@
 	}
 }
 
-// inputsOf is what decided a placement: how long the job has waited, in how long it
-// should have ended and how long it is declared to run, in ms.
-func (d *Dispatcher) inputsOf(state *store.State, assignment *controlpb.Assignment) logrus.Fields {
+// placementFields returns the log fields of a placement's inputs: the time the job has
+// waited, the time to its deadline and its declared run time, all in ms.
+func (d *Dispatcher) placementFields(state *store.State, assignment *controlpb.Assignment) logrus.Fields {
 	fields := logrus.Fields{"tasks": len(assignment.Placements), "worker": assignment.Placements[0].Worker}
 	if job, ok := state.Job(assignment.Job); ok {
 		now := d.config.Now().UnixMilli()
@@ -64,7 +64,7 @@
 	return fields
 }
 
-func racksOf(assignment *controlpb.Assignment, registry Registry) int {
+func countRacks(assignment *controlpb.Assignment, registry Registry) int {
 	racks := map[string]bool{}
 	for _, placement := range assignment.Placements {
 		if worker, ok := registry.Get(placement.Worker); ok {
@@ -74,26 +74,26 @@
 	return len(racks)
 }
 
-// logLeftOut writes a line for each job that a pass placed and that is not started for a
-// reason the pass does not know.
-func (d *Dispatcher) logLeftOut(planned, kept []*controlpb.Assignment, reason string) {
+// logDropped logs each job that a pass placed but that is not started, for a reason that
+// the pass does not take into account.
+func (d *Dispatcher) logDropped(planned, kept []*controlpb.Assignment, reason string) {
 	if d.config.Logger == nil || len(kept) == len(planned) {
 		return
 	}
-	stays := map[string]bool{}
+	started := map[string]bool{}
 	for _, assignment := range kept {
-		stays[assignment.Job] = true
+		started[assignment.Job] = true
 	}
 	for _, assignment := range planned {
-		if !stays[assignment.Job] {
+		if !started[assignment.Job] {
 			d.config.Logger.WithFields(logrus.Fields{"job": assignment.Job, "epoch": assignment.Epoch, "reason": reason}).Info("job not placed after all")
 		}
 	}
 }
 
-// logRefusal writes a line where a decision was not committed, or took no effect
-// because another leader's term had begun.
-func (d *Dispatcher) logRefusal(result *controlpb.Result, err error) {
+// logFailedProposal logs a decision that was not committed, or that had no effect because
+// the term of another leader had started.
+func (d *Dispatcher) logFailedProposal(result *controlpb.Result, err error) {
 	if d.config.Logger == nil {
 		return
 	}
@@ -105,14 +105,14 @@
 	}
 }
 
-// openWorkflows remembers which workflows had not ended when last looked at, to
-// write a line for each that has.
+// openWorkflows tracks the workflows that had not ended at the last update, to log each
+// one that has ended since.
 type openWorkflows struct {
 	index uint64
 	open  map[string]bool
 }
 
-func (o *openWorkflows) look(state *store.State, logger *logrus.Logger) {
+func (o *openWorkflows) update(state *store.State, logger *logrus.Logger) {
 	if logger == nil || state.Index() == o.index {
 		return
 	}
--- a/internal/coordination/dispatch/passgate.go
+++ b/internal/coordination/dispatch/passgate.go
@@ -8,21 +8,22 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// passAnyway is how often a pass is made without news: time alone moves deadlines near.
-const passAnyway = time.Second
+// maxPassInterval is the longest time between passes when nothing has changed: jobs come
+// closer to their deadlines even then.
+const maxPassInterval = time.Second
 
-// passGate tells when a scheduling pass can find anything new. Announcements come
-// many times a second and mostly change nothing that a pass looks at.
+// passGate skips scheduling passes that would have the same input as the one before.
+// Announcements arrive many times a second and mostly change nothing that a pass reads.
 type passGate struct {
-	index   uint64
-	workers []workerFacts
-	made    time.Time
-	// due is when time alone calls for the next pass.
+	index    uint64
+	workers  []workerAttributes
+	lastPass time.Time
+	// due is the time of the next pass if nothing changes before.
 	due time.Time
 }
 
-// workerFacts is what scheduling reads of a worker.
-type workerFacts struct {
+// workerAttributes are the attributes of a worker whose change requires a pass.
+type workerAttributes struct {
 	id, dataCentre, rack string
 	cores, accelerators  uint32
 	coresMilli           uint32
@@ -30,48 +31,53 @@
 	unavailable          bool
 }
 
-// open tells whether a pass is due, and takes note that it is made now.
-func (g *passGate) open(index uint64, workers []scheduling.Worker, now time.Time) bool {
+// admit reports whether a pass is due. If so, it records the input and the time of the
+// pass, which the caller must then run.
+func (g *passGate) admit(index uint64, workers []scheduling.Worker, now time.Time) bool {
 	if index == g.index && now.Before(g.due) && slices.EqualFunc(workers, g.workers, unchanged) {
 		return false
 	}
-	g.index, g.made, g.due, g.workers = index, now, now.Add(passAnyway), g.workers[:0]
+	g.index, g.lastPass, g.due, g.workers = index, now, now.Add(maxPassInterval), g.workers[:0]
 	for i := range workers {
-		g.workers = append(g.workers, factsOf(workers[i]))
+		g.workers = append(g.workers, attributesOf(workers[i]))
 	}
 	return true
 }
 
-// expect takes note of the pauses that jobs wait out: the end of one is no news, and a
-// lone job would wait for the next pass, a second later at most.
-func (g *passGate) expect(jobs []*controlpb.Job) {
+// expectBackoffEnds schedules a pass for the end of each waiting job's backoff. The end of
+// a backoff changes no input, so that a single job would otherwise wait up to
+// maxPassInterval longer.
+func (g *passGate) expectBackoffEnds(jobs []*controlpb.Job) {
 	for _, job := range jobs {
 		if job.State == controlpb.JobState_JOB_STATE_WAITING {
-			g.expectAt(time.UnixMilli(job.NotBeforeMs))
+			g.dueBy(time.UnixMilli(job.NotBeforeMs))
 		}
 	}
 }
 
-// expectStanding takes note of when work will have stood for as long as it may.
-func (g *passGate) expectStanding(plan *scheduling.Plan) {
+// expectStarvation schedules a pass for the time at which a job will have been starved for
+// the longest permitted time.
+func (g *passGate) expectStarvation(plan *scheduling.Plan) {
 	if len(plan.Waiting) > 0 {
-		g.expectAt(plan.QuietSince.Add(time.Millisecond))
+		g.dueBy(plan.QuietSince.Add(time.Millisecond))
 	}
-	for _, stands := range plan.Standing {
-		g.expectAt(stands.Since.Add(scheduling.MostStand))
+	for _, starved := range plan.Standing {
+		g.dueBy(starved.Since.Add(scheduling.MostStand))
 	}
 }
 
-func (g *passGate) expectAt(due time.Time) {
-	if due.After(g.made) && due.Before(g.due) {
+func (g *passGate) dueBy(due time.Time) {
+	if due.After(g.lastPass) && due.Before(g.due) {
 		g.due = due
 	}
 }
 
-func unchanged(worker scheduling.Worker, facts workerFacts) bool { return factsOf(worker) == facts }
+func unchanged(worker scheduling.Worker, last workerAttributes) bool {
+	return attributesOf(worker) == last
+}
 
-func factsOf(w scheduling.Worker) workerFacts {
-	return workerFacts{
+func attributesOf(w scheduling.Worker) workerAttributes {
+	return workerAttributes{
 		id: w.ID, dataCentre: w.DataCentre, rack: w.Rack,
 		cores: w.Cores, coresMilli: w.CoresMilli, accelerators: w.Accelerators, memoryMB: w.MemoryMB,
 		unavailable: w.Unavailable,
--- a/internal/coordination/dispatch/passgate_test.go
+++ b/internal/coordination/dispatch/passgate_test.go
@@ -10,34 +10,36 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// A lone job that waits up to a second more than its pause, since nothing else is news.
+// A single job must not wait up to a second beyond the end of its backoff because nothing
+// else changes the input of a pass.
 func TestPassIsDueWhenAPauseEnds(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
-	paused := &controlpb.Job{State: controlpb.JobState_JOB_STATE_WAITING, NotBeforeMs: now.Add(100 * time.Millisecond).UnixMilli()}
-	tried := &controlpb.Job{State: controlpb.JobState_JOB_STATE_STARTING, NotBeforeMs: now.Add(50 * time.Millisecond).UnixMilli()}
+	inBackoff := &controlpb.Job{State: controlpb.JobState_JOB_STATE_WAITING, NotBeforeMs: now.Add(100 * time.Millisecond).UnixMilli()}
+	starting := &controlpb.Job{State: controlpb.JobState_JOB_STATE_STARTING, NotBeforeMs: now.Add(50 * time.Millisecond).UnixMilli()}
 	gate := &passGate{}
-	is.True(gate.open(1, nil, now))
-	gate.expect([]*controlpb.Job{paused, tried})
-	is.True(!gate.open(1, nil, now.Add(99*time.Millisecond)))
-	is.True(gate.open(1, nil, now.Add(100*time.Millisecond)))
-	gate.expect([]*controlpb.Job{paused})
-	is.True(!gate.open(1, nil, now.Add(1099*time.Millisecond)))
-	is.True(gate.open(1, nil, now.Add(1100*time.Millisecond)))
-	is.True(gate.open(2, nil, now.Add(1101*time.Millisecond)))
+	is.True(gate.admit(1, nil, now))
+	gate.expectBackoffEnds([]*controlpb.Job{inBackoff, starting})
+	is.True(!gate.admit(1, nil, now.Add(99*time.Millisecond)))
+	is.True(gate.admit(1, nil, now.Add(100*time.Millisecond)))
+	gate.expectBackoffEnds([]*controlpb.Job{inBackoff})
+	is.True(!gate.admit(1, nil, now.Add(1099*time.Millisecond)))
+	is.True(gate.admit(1, nil, now.Add(1100*time.Millisecond)))
+	is.True(gate.admit(2, nil, now.Add(1101*time.Millisecond)))
 }
 
-// Work that may stand no longer waits for up to a second more, since nothing is news.
+// A job that has been starved for the longest permitted time must not wait up to a second
+// more because nothing changes the input of a pass.
 func TestPassIsDueWhenWorkHasStoodForLong(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	gate := &passGate{}
-	is.True(gate.open(1, nil, now))
-	stands := func(since time.Duration) scheduling.Standing { return scheduling.Standing{Since: now.Add(since)} }
-	gate.expectStanding(&scheduling.Plan{Standing: []scheduling.Standing{stands(100*time.Millisecond - scheduling.MostStand), stands(-time.Minute)}})
-	is.True(!gate.open(1, nil, now.Add(99*time.Millisecond)))
-	is.True(gate.open(1, nil, now.Add(100*time.Millisecond)))
-	gate.expectStanding(&scheduling.Plan{Waiting: make([]scheduling.Reason, 1), QuietSince: now.Add(149 * time.Millisecond)})
-	is.True(!gate.open(1, nil, now.Add(149*time.Millisecond)))
-	is.True(gate.open(1, nil, now.Add(150*time.Millisecond)))
+	is.True(gate.admit(1, nil, now))
+	starved := func(since time.Duration) scheduling.Standing { return scheduling.Standing{Since: now.Add(since)} }
+	gate.expectStarvation(&scheduling.Plan{Standing: []scheduling.Standing{starved(100*time.Millisecond - scheduling.MostStand), starved(-time.Minute)}})
+	is.True(!gate.admit(1, nil, now.Add(99*time.Millisecond)))
+	is.True(gate.admit(1, nil, now.Add(100*time.Millisecond)))
+	gate.expectStarvation(&scheduling.Plan{Waiting: make([]scheduling.Reason, 1), QuietSince: now.Add(149 * time.Millisecond)})
+	is.True(!gate.admit(1, nil, now.Add(149*time.Millisecond)))
+	is.True(gate.admit(1, nil, now.Add(150*time.Millisecond)))
 }
--- a/internal/coordination/dispatch/runtimes.go
+++ b/internal/coordination/dispatch/runtimes.go
@@ -8,18 +8,18 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// runTimes feeds scheduling with the run times of jobs that completed. A new
-// leader learns them again from the ended jobs that the state still keeps.
+// runTimes estimates run times for scheduling from completed jobs. A new leader rebuilds
+// the estimates from the ended jobs that the state still keeps.
 type runTimes struct {
-	learned *scheduling.RunTimes
-	// open are the jobs that had not ended when last looked at; nil before.
+	estimates *scheduling.RunTimes
+	// open has the jobs that had not ended at the last update; nil before the first.
 	open map[string]bool
 }
 
-func newRunTimes() *runTimes { return &runTimes{learned: scheduling.NewRunTimes()} }
+func newRunTimes() *runTimes { return &runTimes{estimates: scheduling.NewRunTimes()} }
 
-// upTo takes in the jobs that have completed up to the state.
-func (r *runTimes) upTo(state *store.State) *scheduling.RunTimes {
+// update observes the jobs that have completed since the last update.
+func (r *runTimes) update(state *store.State) *scheduling.RunTimes {
 	if r.open == nil {
 		for _, job := range state.Jobs() {
 			r.observe(job)
@@ -36,7 +36,7 @@
 		}
 	}
 	r.open = open
-	return r.learned
+	return r.estimates
 }
 
 func (r *runTimes) observe(job *controlpb.Job) {
@@ -44,7 +44,7 @@
 		return
 	}
 	ran := job.EndedMs - job.StartedMs + job.CheckpointedMs
-	r.learned.Observe(job.WorkClass, milliseconds(job.RunTimeMs), milliseconds(ran))
+	r.estimates.Observe(job.WorkClass, milliseconds(job.RunTimeMs), milliseconds(ran))
 }
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/coordination/dispatch/verdicts.go
+++ b/internal/coordination/dispatch/verdicts.go
@@ -9,13 +9,14 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// verdicts are those of the workers that were not healthy when last judged.
+// verdicts holds, by worker id, the verdicts of all workers that were not healthy at the
+// last evaluation.
 type verdicts map[string]quarantine.Verdict
 
-var workersJudged = expvar.NewMap("dispatch_workers")
+var workerVerdicts = expvar.NewMap("dispatch_workers")
 
-// tell gives the numbers of workers that get no work, or one job as a probe.
-func (v verdicts) tell() {
+// publish sets the metrics that count workers by verdict, for every verdict but healthy.
+func (v verdicts) publish() {
 	counts := map[quarantine.Verdict]int64{}
 	for _, verdict := range v {
 		counts[verdict]++
@@ -23,12 +24,11 @@
 	for _, verdict := range []quarantine.Verdict{quarantine.CoolingDown, quarantine.Quarantined, quarantine.Probing} {
 		count := &expvar.Int{}
 		count.Set(counts[verdict])
-		workersJudged.Set(verdict.String(), count)
+		workerVerdicts.Set(verdict.String(), count)
 	}
 }
 
-// logVerdict writes a line for a worker whose verdict is another one than before, with the
-// evidence for it.
+// logVerdict logs a worker's changed verdict with the failures that it is based on.
 func (d *Dispatcher) logVerdict(state *store.State, worker string, verdict quarantine.Verdict) {
 	if d.config.Logger == nil {
 		return
--- a/internal/coordination/dispatch/waits.go
+++ b/internal/coordination/dispatch/waits.go
@@ -9,31 +9,32 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// What stands now, on the leader: jobs with nothing running and room beside, the longest
-// such stand, and the milliseconds of all of them so far.
+// Starvation metrics of the leader: the number of jobs that have nothing running although
+// free capacity would hold them, the longest current starvation in ms, and the accumulated
+// starvation of all jobs in ms.
 var (
-	standingJobs    = expvar.NewInt("dispatch_standing_jobs")
-	standingLongest = expvar.NewInt("dispatch_standing_longest_ms")
-	standingTotal   = expvar.NewInt("dispatch_standing_total_ms")
+	starvedJobs       = expvar.NewInt("dispatch_standing_jobs")
+	longestStarvation = expvar.NewInt("dispatch_standing_longest_ms")
+	totalStarvation   = expvar.NewInt("dispatch_standing_total_ms")
 )
 
-func tellStanding(summary standing.Summary) {
-	standingJobs.Set(int64(summary.Jobs))
-	standingLongest.Set(summary.Longest.Milliseconds())
-	standingTotal.Add(summary.Total.Milliseconds())
+func publishStarvation(summary standing.Summary) {
+	starvedJobs.Set(int64(summary.Jobs))
+	longestStarvation.Set(summary.Longest.Milliseconds())
+	totalStarvation.Add(summary.Total.Milliseconds())
 }
 
-// logWaits writes a line for each job that has waited for long, or for a new cause, and a
-// warning for each that has stood for long beside room.
-func (d *Dispatcher) logWaits(state *store.State, told, warned []standing.Wait) {
+// logWaits logs each job that has waited for long or for a new cause, and warns of each
+// that has been starved for long.
+func (d *Dispatcher) logWaits(state *store.State, toLog, toWarn []standing.Wait) {
 	if d.config.Logger == nil {
 		return
 	}
-	for i := range told {
-		d.config.Logger.WithFields(waitFields(state, &told[i])).Info("job waits")
+	for i := range toLog {
+		d.config.Logger.WithFields(waitFields(state, &toLog[i])).Info("job waits")
 	}
-	for i := range warned {
-		d.config.Logger.WithFields(waitFields(state, &warned[i])).Warn("job stands beside free room")
+	for i := range toWarn {
+		d.config.Logger.WithFields(waitFields(state, &toWarn[i])).Warn("job stands beside free room")
 	}
 }
 
