--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -59,7 +59,7 @@
 	lastPlan  *scheduling.Plan
 	runTimes  *runTimes
 	keepWarm  warmth.Warmth
-	waits     standing.Watch
+	waits     standing.Tracker
 	verdicts  verdicts
 	workflows openWorkflows
 }
@@ -112,7 +112,7 @@
 		c.dispatcher.Reset(term)
 		c.inventory = inventory.Planner{}
 		c.passGate = passGate{}
-		c.waits = standing.Watch{}
+		c.waits = standing.Tracker{}
 		c.lastPlan.Standing = nil
 	}
 	if c.led && !leads {
@@ -192,7 +192,7 @@
 // reportWaits logs the jobs that the plan leaves waiting and publishes the metrics of
 // the starved ones.
 func (c *Controller) reportWaits(state *store.State, snapshot *scheduling.Snapshot, plan *scheduling.Plan) {
-	toLog, toWarn, summary := c.waits.Look(snapshot.Now, snapshot.Jobs, plan)
+	toLog, toWarn, summary := c.waits.Observe(snapshot.Now, snapshot.Jobs, plan)
 	publishStarvation(summary)
 	c.dispatcher.logWaits(state, toLog, toWarn)
 }
--- a/internal/coordination/dispatch/standing/standing.go
+++ b/internal/coordination/dispatch/standing/standing.go
@@ -1,7 +1,7 @@
-// Package standing watches for work that waits: since when each job could run, what keeps
-// it back, and whether it stands, that is, has nothing running although there is room for
-// it beside. It is pure: jobs, a plan and the time go in, what is worth a line comes out.
-// Nothing of it is in the log: a new leader counts anew.
+// Package standing tracks waiting jobs: since when each could run, why it doesn't, and
+// whether it is starved, that is, has nothing running although free capacity would hold it.
+// It is free of side effects: from jobs, a plan and the time it derives the waits that
+// should be logged. Its state is not in the replicated log, so a new leader starts anew.
 package standing
 
 import (
@@ -12,63 +12,66 @@
 )
 
 const (
-	// toldAfter is the wait from which a job is worth a line.
-	toldAfter = time.Second
-	// tooLong is how long a job may stand before it is worth a warning.
-	tooLong = 2 * time.Second
+	// logAfter is the waiting time from which a job is logged.
+	logAfter = time.Second
+	// warnAfter is the starvation time from which a job causes a warning.
+	warnAfter = 2 * time.Second
 )
 
-// Cause is what keeps a job with nothing running back.
+// Cause is the reason why a job has nothing running.
 type Cause struct {
-	// Code is the reason of the pass, or the state of a job that is started or stopped.
+	// Code is the reason given by the pass, or "starting" or "stopping".
 	Code string
-	// Near is where the job is kept to, if anywhere.
+	// Near is the rack of the job's data, or scheduling.OneRack, if the pass delays the job
+	// until it can run there; empty otherwise.
 	Near string
-	// Stands tells that the job stands.
-	Stands bool
+	// Starved is set if the plan reports the job as starved.
+	Starved bool
 }
 
-// Wait is that of one job with nothing running.
+// Wait describes a job that has nothing running.
 type Wait struct {
 	Job   *controlpb.Job
 	Cause Cause
-	// Waited is for how long it could have run; Stood is for how long it has stood.
-	Waited, Stood time.Duration
-	// Free and All are the room of its service, where it has room beside.
+	// Waited is the time for which the job could have run, StarvedFor the time for which it
+	// has been starved.
+	Waited, StarvedFor time.Duration
+	// Free and All are the free and the whole capacity of the job's service; set only if
+	// the job is starved.
 	Free, All scheduling.Room
-	// Others wait for the same cause.
+	// Others is the number of other jobs that wait for the same cause.
 	Others int
 }
 
-// Summary is the state of all work that stands.
+// Summary describes all starved jobs.
 type Summary struct {
 	Jobs    int
 	Longest time.Duration
-	// Total is the time that jobs have stood since the look before, all together.
+	// Total is the sum over all jobs of the time starved since the previous Observe.
 	Total time.Duration
 }
 
-// Watch remembers the waits between looks. The zero Watch remembers nothing.
-type Watch struct {
-	waits  map[string]*wait
-	looked time.Time
+// Tracker keeps the waits from one Observe to the next. Its zero value is ready to use.
+type Tracker struct {
+	waits    map[string]*wait
+	observed time.Time
 }
 
-// wait is what is remembered of a job with nothing running.
+// wait is what a Tracker keeps of a job with nothing running.
 type wait struct {
-	// since is when it was first seen able to run.
+	// since is when the job was first observed to be able to run.
 	since  time.Time
-	told   Cause
+	logged Cause
 	warned bool
 }
 
-// Look takes in a plan and what it was made from. It gives the waits that are worth a
-// line, those that are worth a warning, and the summary.
-func (w *Watch) Look(now time.Time, jobs []*controlpb.Job, plan *scheduling.Plan) (told, warned []Wait, summary Summary) {
+// Observe processes a plan with the jobs and the time that it was made from. It returns the
+// waits to log, those to warn of, and a summary of the starved jobs.
+func (t *Tracker) Observe(now time.Time, jobs []*controlpb.Job, plan *scheduling.Plan) (toLog, toWarn []Wait, summary Summary) {
 	causes := causesOf(jobs, plan, now)
-	standing := map[string]scheduling.Standing{}
-	for _, stands := range plan.Standing {
-		standing[stands.Job] = stands
+	starvedJobs := map[string]scheduling.Standing{}
+	for _, starved := range plan.Standing {
+		starvedJobs[starved.Job] = starved
 	}
 	others := map[Cause]int{}
 	for _, cause := range causes {
@@ -77,56 +80,56 @@
 	waits := make(map[string]*wait, len(causes))
 	for _, job := range jobs {
 		cause, waiting := causes[job.Id]
-		known := w.waits[job.Id]
+		tracked := t.waits[job.Id]
 		if !waiting {
-			if known != nil && job.State == controlpb.JobState_JOB_STATE_WAITING && job.NotBeforeMs <= now.UnixMilli() {
-				// The plan starts it.
-				waits[job.Id] = known
+			if tracked != nil && job.State == controlpb.JobState_JOB_STATE_WAITING && job.NotBeforeMs <= now.UnixMilli() {
+				// The plan starts the job; keep the wait for Waited.
+				waits[job.Id] = tracked
 			}
 			continue
 		}
-		if known == nil {
-			known = &wait{since: now}
+		if tracked == nil {
+			tracked = &wait{since: now}
 		}
-		waits[job.Id] = known
-		found := Wait{Job: job, Cause: cause, Waited: now.Sub(known.since), Others: others[cause] - 1}
-		if stands, ok := standing[job.Id]; ok {
-			found.Stood, found.Free, found.All = now.Sub(stands.Since), stands.Free, stands.All
+		waits[job.Id] = tracked
+		current := Wait{Job: job, Cause: cause, Waited: now.Sub(tracked.since), Others: others[cause] - 1}
+		if starved, ok := starvedJobs[job.Id]; ok {
+			current.StarvedFor, current.Free, current.All = now.Sub(starved.Since), starved.Free, starved.All
 		}
-		summary.add(found, now.Sub(w.looked))
-		if found.Waited >= toldAfter && known.told != cause {
-			known.told = cause
-			told = append(told, found)
+		summary.add(current, now.Sub(t.observed))
+		if current.Waited >= logAfter && tracked.logged != cause {
+			tracked.logged = cause
+			toLog = append(toLog, current)
 		}
-		stoodLong := found.Stood >= tooLong
-		if stoodLong && !known.warned {
-			warned = append(warned, found)
+		starvedLong := current.StarvedFor >= warnAfter
+		if starvedLong && !tracked.warned {
+			toWarn = append(toWarn, current)
 		}
-		known.warned = stoodLong
+		tracked.warned = starvedLong
 	}
-	w.waits, w.looked = waits, now
-	return told, warned, summary
+	t.waits, t.observed = waits, now
+	return toLog, toWarn, summary
 }
 
-// Waited is for how long a job that is placed now could have run before.
-func (w *Watch) Waited(job string, now time.Time) time.Duration {
-	if known := w.waits[job]; known != nil {
-		return now.Sub(known.since)
+// Waited returns the time for which a job that is placed now could have run.
+func (t *Tracker) Waited(job string, now time.Time) time.Duration {
+	if tracked := t.waits[job]; tracked != nil {
+		return now.Sub(tracked.since)
 	}
 	return 0
 }
 
-func (s *Summary) add(found Wait, since time.Duration) {
-	if found.Stood == 0 {
+func (s *Summary) add(current Wait, since time.Duration) {
+	if current.StarvedFor == 0 {
 		return
 	}
 	s.Jobs++
-	s.Longest = max(s.Longest, found.Stood)
-	s.Total += min(found.Stood, since)
+	s.Longest = max(s.Longest, current.StarvedFor)
+	s.Total += min(current.StarvedFor, since)
 }
 
-// causesOf tells what keeps each job with nothing running back, but for those that the
-// plan starts and those that wait out a pause of their own.
+// causesOf returns the cause of each job that has nothing running, except for those that
+// the plan starts and those in a retry backoff.
 func causesOf(jobs []*controlpb.Job, plan *scheduling.Plan, now time.Time) map[string]Cause {
 	causes := map[string]Cause{}
 	for _, reason := range plan.Waiting {
@@ -142,16 +145,16 @@
 			delete(causes, job.Id)
 		}
 	}
-	for _, kept := range plan.Kept {
-		if cause, ok := causes[kept.Job]; ok {
-			cause.Near = kept.Near
-			causes[kept.Job] = cause
+	for _, localityWait := range plan.Kept {
+		if cause, ok := causes[localityWait.Job]; ok {
+			cause.Near = localityWait.Near
+			causes[localityWait.Job] = cause
 		}
 	}
-	for _, stands := range plan.Standing {
-		if cause, ok := causes[stands.Job]; ok {
-			cause.Stands = true
-			causes[stands.Job] = cause
+	for _, starved := range plan.Standing {
+		if cause, ok := causes[starved.Job]; ok {
+			cause.Starved = true
+			causes[starved.Job] = cause
 		}
 	}
 	return causes
--- a/internal/coordination/dispatch/standing/standing_test.go
+++ b/internal/coordination/dispatch/standing/standing_test.go
@@ -16,72 +16,72 @@
 	stopping = controlpb.JobState_JOB_STATE_STOPPING
 )
 
-var begin = time.UnixMilli(1_000_000)
+var start = time.UnixMilli(1_000_000)
 
-func unit(id, workflow string, state controlpb.JobState) *controlpb.Job {
+func newJob(id, workflow string, state controlpb.JobState) *controlpb.Job {
 	return &controlpb.Job{Id: id, Workflow: workflow, State: state, NextState: waiting}
 }
 
-// besidePlan has the jobs wait with room beside them.
-func besidePlan(jobs ...string) *scheduling.Plan {
+// starvedPlan returns a plan in which the jobs wait although capacity is free.
+func starvedPlan(jobs ...string) *scheduling.Plan {
 	plan := &scheduling.Plan{}
 	for _, job := range jobs {
 		plan.Waiting = append(plan.Waiting, scheduling.Reason{Job: job, Code: scheduling.ReasonNoCapacity})
-		plan.Standing = append(plan.Standing, scheduling.Standing{Job: job, Since: begin})
+		plan.Standing = append(plan.Standing, scheduling.Standing{Job: job, Since: start})
 	}
 	return plan
 }
 
-// Work stands and nobody is told, or somebody is told again and again.
-func TestWorkThatStandsIsTold(t *testing.T) {
+// Starved jobs are logged and toWarn of once each, neither never nor repeatedly.
+func TestStarvedJobsAreReported(t *testing.T) {
 	is := is.New(t)
-	jobs := []*controlpb.Job{unit("a", "a", waiting), unit("b", "b", stopping)}
-	watch := &standing.Watch{}
-	plan := besidePlan("a")
-	plan.Standing = append(plan.Standing, scheduling.Standing{Job: "b", Since: begin})
-	told, warned, summary := watch.Look(begin, jobs, plan)
-	is.Equal(len(told)+len(warned), 0)
+	jobs := []*controlpb.Job{newJob("a", "a", waiting), newJob("b", "b", stopping)}
+	tracker := &standing.Tracker{}
+	plan := starvedPlan("a")
+	plan.Standing = append(plan.Standing, scheduling.Standing{Job: "b", Since: start})
+	toLog, toWarn, summary := tracker.Observe(start, jobs, plan)
+	is.Equal(len(toLog)+len(toWarn), 0)
 	is.Equal(summary.Longest, time.Duration(0))
 
-	told, warned, summary = watch.Look(begin.Add(time.Second), jobs, plan)
-	is.Equal(len(told), 2)
-	is.Equal(len(warned), 0)
+	toLog, toWarn, summary = tracker.Observe(start.Add(time.Second), jobs, plan)
+	is.Equal(len(toLog), 2)
+	is.Equal(len(toWarn), 0)
 	is.Equal(summary, standing.Summary{Jobs: 2, Longest: time.Second, Total: 2 * time.Second})
 
-	told, warned, summary = watch.Look(begin.Add(2*time.Second), jobs, plan)
-	is.Equal(len(told), 0)
-	is.Equal(len(warned), 2)
-	is.Equal(warned[1].Cause.Code, "stopping")
+	toLog, toWarn, summary = tracker.Observe(start.Add(2*time.Second), jobs, plan)
+	is.Equal(len(toLog), 0)
+	is.Equal(len(toWarn), 2)
+	is.Equal(toWarn[1].Cause.Code, "stopping")
 	is.Equal(summary.Total, 2*time.Second)
 
-	told, warned, _ = watch.Look(begin.Add(3*time.Second), jobs, plan)
-	is.Equal(len(told)+len(warned), 0)
+	toLog, toWarn, _ = tracker.Observe(start.Add(3*time.Second), jobs, plan)
+	is.Equal(len(toLog)+len(toWarn), 0)
 }
 
-// A line for what keeps a job back says what kept it back a minute ago.
-func TestNewCauseIsTold(t *testing.T) {
+// A job whose cause changes is logged again, or the log would show an outdated cause.
+func TestNewCauseIsReported(t *testing.T) {
 	is := is.New(t)
-	jobs := []*controlpb.Job{unit("a", "a", waiting)}
-	watch := &standing.Watch{}
-	watch.Look(begin, jobs, besidePlan("a"))
-	watch.Look(begin.Add(time.Second), jobs, besidePlan("a"))
-	plan := besidePlan("a")
+	jobs := []*controlpb.Job{newJob("a", "a", waiting)}
+	tracker := &standing.Tracker{}
+	tracker.Observe(start, jobs, starvedPlan("a"))
+	tracker.Observe(start.Add(time.Second), jobs, starvedPlan("a"))
+	plan := starvedPlan("a")
 	plan.Standing, plan.Kept = nil, []scheduling.Kept{{Job: "a", Near: "r1"}}
-	told, _, summary := watch.Look(begin.Add(1500*time.Millisecond), jobs, plan)
-	is.Equal(len(told), 1)
-	is.Equal(told[0].Cause, standing.Cause{Code: "no_free_capacity", Near: "r1"})
-	is.Equal(told[0].Waited, 1500*time.Millisecond)
+	toLog, _, summary := tracker.Observe(start.Add(1500*time.Millisecond), jobs, plan)
+	is.Equal(len(toLog), 1)
+	is.Equal(toLog[0].Cause, standing.Cause{Code: "no_free_capacity", Near: "r1"})
+	is.Equal(toLog[0].Waited, 1500*time.Millisecond)
 	is.Equal(summary.Jobs, 0)
 }
 
-// A job that waits out the pause of a failure counts as one that could run.
-func TestPauseIsNoWait(t *testing.T) {
+// The backoff after a failure must not count as time in which the job could have run.
+func TestBackoffIsNotCountedAsWaiting(t *testing.T) {
 	is := is.New(t)
-	paused := unit("a", "a", waiting)
-	paused.NotBeforeMs = begin.Add(time.Second).UnixMilli()
-	watch := &standing.Watch{}
-	watch.Look(begin, []*controlpb.Job{paused}, besidePlan("a"))
-	watch.Look(begin.Add(time.Second), []*controlpb.Job{paused}, besidePlan("a"))
-	watch.Look(begin.Add(1500*time.Millisecond), []*controlpb.Job{paused}, &scheduling.Plan{})
-	is.Equal(watch.Waited("a", begin.Add(1500*time.Millisecond)), 500*time.Millisecond)
+	inBackoff := newJob("a", "a", waiting)
+	inBackoff.NotBeforeMs = start.Add(time.Second).UnixMilli()
+	tracker := &standing.Tracker{}
+	tracker.Observe(start, []*controlpb.Job{inBackoff}, starvedPlan("a"))
+	tracker.Observe(start.Add(time.Second), []*controlpb.Job{inBackoff}, starvedPlan("a"))
+	tracker.Observe(start.Add(1500*time.Millisecond), []*controlpb.Job{inBackoff}, &scheduling.Plan{})
+	is.Equal(tracker.Waited("a", start.Add(1500*time.Millisecond)), 500*time.Millisecond)
 }
--- a/internal/coordination/dispatch/waits.go
+++ b/internal/coordination/dispatch/waits.go
@@ -44,8 +44,8 @@
 		"code": wait.Cause.Code, "near": wait.Cause.Near, "others": wait.Others,
 		"tasks": wait.Job.Tasks, "able_ms": wait.Waited.Milliseconds(), "index": state.Index(),
 	}
-	if wait.Cause.Stands {
-		fields["stood_ms"] = wait.Stood.Milliseconds()
+	if wait.Cause.Starved {
+		fields["stood_ms"] = wait.StarvedFor.Milliseconds()
 		fields["free_accelerators"], fields["accelerators"] = wait.Free.Accelerators, wait.All.Accelerators
 		fields["free_cores_milli"], fields["cores_milli"] = wait.Free.CoresMilli, wait.All.CoresMilli
 		fields["free_memory_mb"], fields["memory_mb"] = wait.Free.MemoryMB, wait.All.MemoryMB
