--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -175,7 +175,7 @@
 	}
 	c.passGate.expectStarvation(plan)
 	c.reportWaits(state, snapshot, plan)
-	assignments := quarantine.Limit(plan.Assignments, func(worker string) bool { return probing[worker] })
+	assignments := quarantine.LimitProbes(plan.Assignments, func(worker string) bool { return probing[worker] })
 	c.dispatcher.logDropped(plan.Assignments, assignments, "a worker is being probed with another job")
 	announced := c.toAnnouncedWorkers(assignments)
 	c.dispatcher.logDropped(assignments, announced, "a worker has not announced itself in the current term")
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -170,7 +170,7 @@
 }
 
 func (d *Dispatcher) verdict(state *store.State, worker string) quarantine.Verdict {
-	return quarantine.Of(d.config.Quarantine, state.Health(worker), latest(d.config.Now(), state.Time()))
+	return quarantine.Evaluate(d.config.Quarantine, state.Health(worker), latest(d.config.Now(), state.Time()))
 }
 
 // latest returns the later of two times, so that recorded failures are never in the
--- a/internal/coordination/dispatch/quarantine/quarantine.go
+++ b/internal/coordination/dispatch/quarantine/quarantine.go
@@ -1,6 +1,6 @@
-// Package quarantine decides from a worker's failures whether it gets work. The
-// failures are in the log and nothing else is remembered, so every leader
-// decides the same.
+// Package quarantine decides from a worker's failures whether it is given work. The
+// failures are in the replicated log and the package keeps no other state, so every
+// leader decides the same.
 package quarantine
 
 import (
@@ -10,36 +10,38 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Config of the decision.
+// Config holds the delays after failures.
 type Config struct {
-	// CoolDown is the pause after one failure: the job that failed, and others,
-	// try elsewhere first. It doubles with each further failure, up to Probe.
+	// CoolDown is how long a worker gets no work after one failure, so that the failed job
+	// and others try other workers first. It doubles with each further failure, up to Probe.
 	CoolDown time.Duration
-	// Probe is the pause before a quarantined worker is tried with one job. It
-	// doubles with each probe that fails, up to maxProbe.
+	// Probe is the delay until a quarantined worker is probed with one job. It doubles with
+	// each failed probe, up to maxProbeDelay.
 	Probe time.Duration
 }
 
 const (
-	// distinctJobs is how many jobs must fail in a row: fewer may be bad jobs.
-	distinctJobs = 3
-	maxProbe     = time.Hour
-	maxDoublings = 16
+	// minDistinctJobs is how many different jobs must fail on a worker without a success
+	// in between before it is quarantined: with fewer, the jobs may be at fault.
+	minDistinctJobs = 3
+	maxProbeDelay   = time.Hour
+	maxDoublings    = 16
 )
 
-// Verdict is what a worker may be given.
+// Verdict says what work a worker may be given.
 type Verdict int
 
 // The verdicts.
 const (
-	// Healthy workers get any work.
+	// Healthy workers may be given any work.
 	Healthy Verdict = iota
-	// CoolingDown workers get none for now.
+	// CoolingDown workers are given no work until the cool-down ends.
 	CoolingDown
-	// Quarantined workers failed several jobs in a row, and get none for now.
+	// Quarantined workers failed several jobs in a row or let work stall, and are given
+	// no work until a probe is due.
 	Quarantined
-	// Probing workers are quarantined and may be tried with one job: one that ends
-	// well clears them.
+	// Probing workers are quarantined and may be given one job as a probe; if it succeeds,
+	// they are healthy again.
 	Probing
 )
 
@@ -49,38 +51,40 @@
 
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Of judges a worker; health is nil where nothing has failed since a success.
-func Of(config Config, health *controlpb.WorkerHealth, now time.Time) Verdict {
+// Evaluate returns the verdict on a worker; health is nil if nothing has failed on it since
+// its last success.
+func Evaluate(config Config, health *controlpb.WorkerHealth, now time.Time) Verdict {
 	if health == nil || len(health.Failures) == 0 {
 		return Healthy
 	}
 	since := now.Sub(time.UnixMilli(health.Failures[len(health.Failures)-1].TimeMs))
 	failures := int(health.Consecutive)
 	if !quarantined(health) {
-		if since < doubled(config.CoolDown, failures-1, config.Probe) {
+		if since < backoff(config.CoolDown, failures-1, config.Probe) {
 			return CoolingDown
 		}
 		return Healthy
 	}
-	if since < doubled(config.Probe, max(failures-distinctJobs, 0), maxProbe) {
+	if since < backoff(config.Probe, max(failures-minDistinctJobs, 0), maxProbeDelay) {
 		return Quarantined
 	}
 	return Probing
 }
 
-// quarantined tells a worker that several jobs failed on, or that let work stand
-// still: a job does not hang by itself, and a worker that hangs looks empty once its
-// tasks are stopped, so that it would be given the next ones at once.
+// quarantined reports whether several jobs have failed on the worker, or work has stalled on
+// it. One stall suffices: a job does not hang by itself, and a worker that hangs appears
+// idle once its tasks are stopped, so that it would be given the next ones at once.
 func quarantined(health *controlpb.WorkerHealth) bool {
 	for _, failed := range health.Failures {
 		if failed.Code == string(failure.Stalled) {
 			return true
 		}
 	}
-	return DistinctJobs(health) >= distinctJobs
+	return DistinctJobs(health) >= minDistinctJobs
 }
 
-// DistinctJobs counts the jobs that failed on the worker since a success.
+// DistinctJobs returns the number of different jobs that failed on the worker since its last
+// success.
 func DistinctJobs(health *controlpb.WorkerHealth) int {
 	jobs := map[string]bool{}
 	for _, failed := range health.Failures {
@@ -89,25 +93,25 @@
 	return len(jobs)
 }
 
-func doubled(base time.Duration, times int, most time.Duration) time.Duration {
-	return min(base<<min(max(times, 0), maxDoublings), most)
+func backoff(base time.Duration, doublings int, limit time.Duration) time.Duration {
+	return min(base<<min(max(doublings, 0), maxDoublings), limit)
 }
 
-// Limit takes out of a plan what would put more than one job on a worker that
-// is probed. What is taken out waits for the next pass.
-func Limit(plan []*controlpb.Assignment, probing func(worker string) bool) []*controlpb.Assignment {
-	taken := map[string]bool{}
+// LimitProbes drops from a plan the assignments that would put more than one job on a worker
+// that is being probed. The dropped jobs wait for the next pass.
+func LimitProbes(plan []*controlpb.Assignment, probing func(worker string) bool) []*controlpb.Assignment {
+	probed := map[string]bool{}
 	kept := make([]*controlpb.Assignment, 0, len(plan))
 	for _, assignment := range plan {
-		if !touchesAny(assignment, taken) {
+		if !usesAny(assignment, probed) {
 			kept = append(kept, assignment)
-			markProbed(assignment, probing, taken)
+			markProbing(assignment, probing, probed)
 		}
 	}
 	return kept
 }
 
-func touchesAny(assignment *controlpb.Assignment, workers map[string]bool) bool {
+func usesAny(assignment *controlpb.Assignment, workers map[string]bool) bool {
 	for _, placement := range assignment.Placements {
 		if workers[placement.Worker] {
 			return true
@@ -116,7 +120,7 @@
 	return false
 }
 
-func markProbed(assignment *controlpb.Assignment, probing func(worker string) bool, taken map[string]bool) {
+func markProbing(assignment *controlpb.Assignment, probing func(worker string) bool, taken map[string]bool) {
 	for _, placement := range assignment.Placements {
 		if probing(placement.Worker) {
 			taken[placement.Worker] = true
--- a/internal/coordination/dispatch/quarantine/quarantine_test.go
+++ b/internal/coordination/dispatch/quarantine/quarantine_test.go
@@ -35,28 +35,28 @@
 		want   quarantine.Verdict
 	}{
 		{"nothing failed", nil, 0, quarantine.Healthy},
-		{"one failure, at once", health(1, "a"), time.Second, quarantine.CoolingDown},
-		{"one failure, later", health(1, "a"), 3 * time.Second, quarantine.Healthy},
-		{"one job failed thrice", health(3, "a", "a", "a"), 5 * time.Second, quarantine.CoolingDown},
-		{"one job failed thrice, later", health(3, "a", "a", "a"), 9 * time.Second, quarantine.Healthy},
+		{"one failure, during the cool-down", health(1, "a"), time.Second, quarantine.CoolingDown},
+		{"one failure, after the cool-down", health(1, "a"), 3 * time.Second, quarantine.Healthy},
+		{"one job failed three times", health(3, "a", "a", "a"), 5 * time.Second, quarantine.CoolingDown},
+		{"one job failed three times, after the cool-down", health(3, "a", "a", "a"), 9 * time.Second, quarantine.Healthy},
 		{"three jobs failed", health(3, "a", "b", "c"), 29 * time.Second, quarantine.Quarantined},
-		{"three jobs failed, later", health(3, "a", "b", "c"), 31 * time.Second, quarantine.Probing},
+		{"three jobs failed, probe is due", health(3, "a", "b", "c"), 31 * time.Second, quarantine.Probing},
 		{"a probe failed too", health(4, "a", "b", "c", "d"), 59 * time.Second, quarantine.Quarantined},
-		{"a probe failed too, later", health(4, "a", "b", "c", "d"), 61 * time.Second, quarantine.Probing},
-		{"work stood still", stalledHealth(), 29 * time.Second, quarantine.Quarantined},
-		{"work stood still, later", stalledHealth(), 31 * time.Second, quarantine.Probing},
+		{"a probe failed too, next probe is due", health(4, "a", "b", "c", "d"), 61 * time.Second, quarantine.Probing},
+		{"work stalled", stalledHealth(), 29 * time.Second, quarantine.Quarantined},
+		{"work stalled, probe is due", stalledHealth(), 31 * time.Second, quarantine.Probing},
 		{"a hundred probes failed", health(100, "a", "b", "c", "d"), 61 * time.Minute, quarantine.Probing},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			is.Equal(quarantine.Of(config, c.health, time.UnixMilli(0).Add(c.after)), c.want)
+			is.Equal(quarantine.Evaluate(config, c.health, time.UnixMilli(0).Add(c.after)), c.want)
 		})
 	}
 }
 
-// A pass that knows nothing of probes puts three jobs on a worker that is tried
-// again; two of them would fail with the first.
+// A pass, which doesn't know of probes, places three jobs on a worker that is being probed.
+// Only one may be started: if the worker is still faulty, the other two would fail too.
 func TestOneJobProbesAWorker(t *testing.T) {
 	is := is.New(t)
 	on := func(job string, workers ...string) *controlpb.Assignment {
@@ -67,7 +67,7 @@
 		return a
 	}
 	plan := []*controlpb.Assignment{on("a", "good", "bad"), on("b", "bad"), on("c", "good"), on("d", "bad", "good")}
-	kept := quarantine.Limit(plan, func(worker string) bool { return worker == "bad" })
+	kept := quarantine.LimitProbes(plan, func(worker string) bool { return worker == "bad" })
 	is.Equal(len(kept), 2)
 	is.Equal(kept[0].Job, "a")
 	is.Equal(kept[1].Job, "c")
