--- a/internal/coordination/dispatch/pace/bench_test.go
+++ b/internal/coordination/dispatch/pace/bench_test.go
@@ -7,7 +7,7 @@
 	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
 )
 
-// BenchmarkFit tells the speeds of 540 workers from 256 runs of 13 members.
+// BenchmarkFit estimates the speeds of 540 workers from 256 runs of 13 members.
 func BenchmarkFit(b *testing.B) {
 	learner := &pace.Learner{}
 	observe := func(run, member int) {
--- a/internal/coordination/dispatch/pace/pace.go
+++ b/internal/coordination/dispatch/pace/pace.go
@@ -1,6 +1,6 @@
-// Package pace learns by how much workers differ in speed, from the progress of gangs:
-// the members of one have the same work each, and none of them can end before the
-// slowest, so that a gang over unlike workers holds the fast ones for nothing.
+// Package pace estimates the relative speeds of workers from the progress of gangs. All
+// members of a gang have the same amount of work and none completes before the slowest one,
+// so a gang on workers of different speed wastes the time of the fast ones.
 package pace
 
 import (
@@ -9,33 +9,34 @@
 )
 
 const (
-	// priorRuns is how many runs the assumption that a worker is as fast as others
-	// weighs: progress comes in hundredths, which makes a rate wrong by a tenth where it
-	// is taken early in a run.
+	// priorRuns is the weight, in runs, of the prior that a worker has the same speed as
+	// the others. Progress is reported in hundredths, so that a rate that is measured early
+	// in a run is off by up to a tenth.
 	priorRuns = 0.3
-	// keptRuns is how many newest runs count: some seconds of a busy cluster, so that a
-	// worker that has turned slow is soon known to be.
-	keptRuns = 256
-	// rounds of the fit; the third changes speeds by less than a hundredth.
-	rounds = 3
+	// maxRuns is how many of the newest runs are kept: a few seconds' worth on a busy
+	// cluster, so that a worker that slows down is detected quickly.
+	maxRuns = 256
+	// iterations of the fit: the third changes speeds by less than a hundredth.
+	iterations = 3
 )
 
-// Run names one run of a gang.
+// Run identifies one run of a gang.
 type Run struct {
 	Job   string
 	Epoch uint64
 }
 
-// Learner holds the rates that were observed. The zero Learner has observed nothing.
+// Learner estimates speeds from observed rates. Its zero value is ready to use.
 type Learner struct {
-	// rates of the members of each run by worker, as logarithms.
+	// rates holds the natural logarithms of the members' rates, by run and worker.
 	rates map[Run]map[string]float64
-	// order of the runs, the oldest first.
-	order []Run
+	// runs lists the keys of rates, oldest first.
+	runs []Run
 }
 
-// Observe notes how fast a worker gets on with its member of a run: in any unit that is
-// the same for all members. A later figure replaces an earlier one.
+// Observe records the rate at which a worker progresses with its member of a run, in any
+// unit that is the same for all members. A later rate replaces an earlier one; rates that
+// are not positive are ignored.
 func (l *Learner) Observe(run Run, worker string, rate float64) {
 	if rate <= 0 {
 		return
@@ -47,32 +48,33 @@
 	if members == nil {
 		members = map[string]float64{}
 		l.rates[run] = members
-		l.order = append(l.order, run)
-		if len(l.order) > keptRuns {
-			delete(l.rates, l.order[0])
-			l.order = l.order[1:]
+		l.runs = append(l.runs, run)
+		if len(l.runs) > maxRuns {
+			delete(l.rates, l.runs[0])
+			l.runs = l.runs[1:]
 		}
 	}
 	members[worker] = math.Log(rate)
 }
 
-// Speeds gives the speed of each worker beside the middle one of all that are known. It
-// explains each rate by its run's work and its worker's speed, in turns.
+// Speeds returns the speed of each known worker relative to the median. It models a rate
+// as the product of its run's base rate and its worker's speed, and fits the two
+// alternately.
 func (l *Learner) Speeds() map[string]float64 {
 	speeds := map[string]float64{}
-	for range rounds {
+	for range iterations {
 		sums, counts := map[string]float64{}, map[string]float64{}
-		for _, run := range l.order {
+		for _, run := range l.runs {
 			members := l.rates[run]
 			if len(members) < 2 {
 				continue
 			}
-			work := 0.0
+			base := 0.0
 			for worker, rate := range members {
-				work += (rate - speeds[worker]) / float64(len(members))
+				base += (rate - speeds[worker]) / float64(len(members))
 			}
 			for worker, rate := range members {
-				sums[worker] += rate - work
+				sums[worker] += rate - base
 				counts[worker]++
 			}
 		}
@@ -83,7 +85,7 @@
 	return relative(speeds)
 }
 
-// relative takes logarithms to speeds beside the median.
+// relative converts logarithms of speeds to speeds relative to the median.
 func relative(logs map[string]float64) map[string]float64 {
 	if len(logs) == 0 {
 		return map[string]float64{}
@@ -93,10 +95,10 @@
 		sorted = append(sorted, value)
 	}
 	slices.Sort(sorted)
-	middle := sorted[len(sorted)/2]
+	median := sorted[len(sorted)/2]
 	speeds := make(map[string]float64, len(logs))
 	for worker, value := range logs {
-		speeds[worker] = math.Exp(value - middle)
+		speeds[worker] = math.Exp(value - median)
 	}
 	return speeds
 }
--- a/internal/coordination/dispatch/pace/pace_test.go
+++ b/internal/coordination/dispatch/pace/pace_test.go
@@ -11,8 +11,9 @@
 	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
 )
 
-// A gang that waits for one slow worker among fast ones, since speeds were not told apart.
-func TestSpeedsAreToldFromGangs(t *testing.T) {
+// Speeds must be estimated from gangs on random workers, or a gang would wait for one slow
+// worker among fast ones.
+func TestSpeedsAreEstimatedFromGangs(t *testing.T) {
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	speeds := []float64{0.8, 1, 1.25}
@@ -26,9 +27,9 @@
 			learner.Observe(pace.Run{Job: fmt.Sprint(gang)}, fmt.Sprint(worker), rate)
 		}
 	}
-	told := learner.Speeds()
-	is.True(len(told) > 50)
-	for worker, speed := range told {
+	estimated := learner.Speeds()
+	is.True(len(estimated) > 50)
+	for worker, speed := range estimated {
 		var number int
 		_, err := fmt.Sscan(worker, &number)
 		is.NoErr(err)
@@ -36,8 +37,9 @@
 	}
 }
 
-// A worker of which nothing was seen, or only gangs of one member, is not told.
-func TestNothingIsToldOfOneMember(t *testing.T) {
+// Workers without observations, or only with gangs of one member, have no speed: a single
+// rate doesn't separate the work of the run from the speed of the worker.
+func TestSingleMemberGangsGiveNoSpeeds(t *testing.T) {
 	is := is.New(t)
 	learner := &pace.Learner{}
 	is.Equal(len(learner.Speeds()), 0)
@@ -45,9 +47,9 @@
 	is.Equal(len(learner.Speeds()), 0)
 }
 
-// A worker turns four times as slow. What it did before is forgotten as newer runs come,
-// or urgent work would go on to be placed there.
-func TestWorkerThatTurnsSlowIsTold(t *testing.T) {
+// A worker becomes four times slower. Its earlier runs must be discarded as newer ones are
+// observed, or urgent work would still be placed on it.
+func TestSlowedWorkerIsDetected(t *testing.T) {
 	is := is.New(t)
 	learner := &pace.Learner{}
 	for gang := range 600 {
