--- a/internal/coordination/dispatch/waste/waste.go
+++ b/internal/coordination/dispatch/waste/waste.go
@@ -1,6 +1,7 @@
-// Package waste counts what accelerators were held or worked for without use to
-// anybody. It is pure and reads only what the control state keeps, so any
-// instance can show it; sums go back as far as ended jobs are kept.
+// Package waste computes accelerator capacity that is idle or was held without running, and
+// accelerator time whose results were lost. It is free of side effects and reads only the
+// control state, so any instance can report it; sums cover the ended jobs that are still
+// kept.
 package waste
 
 import (
@@ -8,27 +9,28 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// Waste is what there is now, in accelerators, and the sums so far, in seconds
-// times accelerators.
+// Waste holds the current values, in accelerators, and the sums over all kept jobs, in
+// accelerator-seconds.
 type Waste struct {
-	// Total accelerators of live workers, and how many of them no task holds.
+	// Total is the number of accelerators of live workers, Idle the number of those that no
+	// task holds.
 	Total uint32
 	Idle  uint32
-	// ReservedUnused accelerators are held by a gang that has not started or by
-	// members that have not stopped yet. Those of tasks that ended are idle.
+	// ReservedUnused is the number of accelerators held by gangs that have not started or
+	// members that have not stopped yet. Accelerators of ended tasks count as idle.
 	ReservedUnused uint32
-	// IdleInGuarantee accelerators are idle, and customers could claim them for
-	// their guarantees at once.
+	// IdleInGuarantee is the number of idle accelerators that customers could claim
+	// immediately under their guarantees.
 	IdleInGuarantee uint32
-	// ReservedSeconds were held without running.
+	// ReservedSeconds is the time for which accelerators were held without running.
 	ReservedSeconds float64
-	// LostToPreemptionSeconds and LostToRetriesSeconds were worked and then not
-	// kept by a checkpoint.
+	// LostToPreemptionSeconds and LostToRetriesSeconds are running time whose results were
+	// not saved by a checkpoint.
 	LostToPreemptionSeconds float64
 	LostToRetriesSeconds    float64
 }
 
-// Of counts the waste of the jobs that are kept on the workers that are live.
+// Of computes the waste of the kept jobs on the live workers.
 func Of(jobs []*controlpb.Job, workers []*peerpb.Upstream, customers []*controlpb.Customer) Waste {
 	w := Waste{}
 	for _, worker := range workers {
@@ -38,11 +40,11 @@
 	var all uint32
 	for _, job := range jobs {
 		w.add(job)
-		held[job.Customer] += holding(job)
-		all += holding(job)
+		held[job.Customer] += heldBy(job)
+		all += heldBy(job)
 	}
 	w.Idle = w.Total - min(all, w.Total)
-	w.IdleInGuarantee = min(unclaimed(customers, held), w.Idle)
+	w.IdleInGuarantee = min(unusedGuarantees(customers, held), w.Idle)
 	return w
 }
 
@@ -52,11 +54,11 @@
 	w.LostToPreemptionSeconds += seconds(job.LostPreemptedMs) * accelerators
 	w.LostToRetriesSeconds += seconds(job.LostMs-job.LostPreemptedMs) * accelerators
 	if job.State == controlpb.JobState_JOB_STATE_STARTING || job.State == controlpb.JobState_JOB_STATE_STOPPING {
-		w.ReservedUnused += holding(job)
+		w.ReservedUnused += heldBy(job)
 	}
 }
 
-func holding(job *controlpb.Job) uint32 {
+func heldBy(job *controlpb.Job) uint32 {
 	var held uint32
 	for _, placement := range job.Placements {
 		held += uint32(len(placement.Accelerators))
@@ -64,15 +66,16 @@
 	return held
 }
 
-// unclaimed is what the customers' guarantees promise beyond what they hold.
-func unclaimed(customers []*controlpb.Customer, held map[string]uint32) uint32 {
+// unusedGuarantees returns the number of guaranteed accelerators that the customers don't
+// hold.
+func unusedGuarantees(customers []*controlpb.Customer, held map[string]uint32) uint32 {
 	var sum uint32
 	for _, customer := range customers {
-		var promised uint32
+		var guaranteed uint32
 		for _, shape := range customer.Guarantee {
-			promised += shape.Sets * shape.Accelerators
+			guaranteed += shape.Sets * shape.Accelerators
 		}
-		sum += promised - min(held[customer.Name], promised)
+		sum += guaranteed - min(held[customer.Name], guaranteed)
 	}
 	return sum
 }
