--- a/internal/coordination/dispatch/renewal/renewal_test.go
+++ b/internal/coordination/dispatch/renewal/renewal_test.go
@@ -11,7 +11,7 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// A state in which job j stands at epoch 2, in the given state.
+// stateOf returns a control state with job j at epoch 2 in the given state.
 func stateOf(job controlpb.JobState) *store.State {
 	return store.Restore(&controlpb.Snapshot{Jobs: []*controlpb.Job{{Id: "j", Epoch: 2, State: job}}})
 }
@@ -31,17 +31,17 @@
 		stale bool
 		want  string
 	}{
-		{"runs as wanted", running, 2, api.PhaseRunning, false, "renew"},
-		{"runs, and this state is old", running, 2, api.PhaseRunning, true, ""},
+		{"runs in the current epoch", running, 2, api.PhaseRunning, false, "renew"},
+		{"runs, and the control state is stale", running, 2, api.PhaseRunning, true, ""},
 		{"is being stopped", stopping, 2, api.PhaseRunning, false, "stop"},
-		{"is being stopped, as an old state knows", stopping, 2, api.PhaseRunning, true, "stop"},
-		{"was stopped, others were not yet", stopping, 2, api.PhaseStopped, false, ""},
-		{"runs in an epoch that is over", running, 1, api.PhaseRunning, false, "stop"},
+		{"is being stopped, and the control state is stale", stopping, 2, api.PhaseRunning, true, "stop"},
+		{"has stopped, other members not yet", stopping, 2, api.PhaseStopped, false, ""},
+		{"runs in an epoch that has ended", running, 1, api.PhaseRunning, false, "stop"},
 		{"runs for a job that waits", waiting, 2, api.PhaseRunning, false, "stop"},
-		{"runs in an epoch not seen yet", waiting, 3, api.PhaseRunning, false, ""},
-		{"ended in an epoch not seen yet", waiting, 3, api.PhaseCompleted, false, ""},
-		{"ended and is not recorded", running, 2, api.PhaseCompleted, false, ""},
-		{"ended and is recorded", completed, 2, api.PhaseCompleted, false, "forget"},
+		{"runs in an epoch not yet in the control state", waiting, 3, api.PhaseRunning, false, ""},
+		{"ended in an epoch not yet in the control state", waiting, 3, api.PhaseCompleted, false, ""},
+		{"ended, not recorded yet", running, 2, api.PhaseCompleted, false, ""},
+		{"ended and recorded", completed, 2, api.PhaseCompleted, false, "forget"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
