--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -11,7 +11,7 @@
 
 	"pinewinch.example/pinewinch/internal/coordination/control"
 	"pinewinch.example/pinewinch/internal/coordination/dispatch/quarantine"
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/standing"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/starvation"
 	"pinewinch.example/pinewinch/internal/coordination/dispatch/warmth"
 	"pinewinch.example/pinewinch/internal/coordination/inventory"
 	"pinewinch.example/pinewinch/internal/coordination/recurrence"
@@ -59,7 +59,7 @@
 	lastPlan  *scheduling.Plan
 	runTimes  *runTimes
 	keepWarm  warmth.Warmth
-	waits     standing.Tracker
+	waits     starvation.Tracker
 	verdicts  verdicts
 	workflows openWorkflows
 }
@@ -112,11 +112,11 @@
 		c.dispatcher.Reset(term)
 		c.inventory = inventory.Planner{}
 		c.passGate = passGate{}
-		c.waits = standing.Tracker{}
+		c.waits = starvation.Tracker{}
 		c.lastPlan.Standing = nil
 	}
 	if c.led && !leads {
-		publishStarvation(standing.Summary{})
+		publishStarvation(starvation.Summary{})
 		c.setVerdicts(nil)
 	}
 	c.led = leads
--- a/internal/coordination/dispatch/standing/standing.go
+++ b/internal/coordination/dispatch/starvation/starvation.go
@@ -1,8 +1,8 @@
-// Package standing tracks waiting jobs: since when each could run, why it doesn't, and
+// Package starvation tracks waiting jobs: since when each could run, why it doesn't, and
 // whether it is starved, that is, has nothing running although free capacity would hold it.
 // It is free of side effects: from jobs, a plan and the time it derives the waits that
 // should be logged. Its state is not in the replicated log, so a new leader starts anew.
-package standing
+package starvation
 
 import (
 	"time"
--- a/internal/coordination/dispatch/standing/standing_test.go
+++ b/internal/coordination/dispatch/starvation/starvation_test.go
@@ -1,4 +1,4 @@
-package standing_test
+package starvation_test
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/standing"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/starvation"
 	"pinewinch.example/pinewinch/internal/coordination/scheduling"
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
@@ -36,7 +36,7 @@
 func TestStarvedJobsAreReported(t *testing.T) {
 	is := is.New(t)
 	jobs := []*controlpb.Job{newJob("a", "a", waiting), newJob("b", "b", stopping)}
-	tracker := &standing.Tracker{}
+	tracker := &starvation.Tracker{}
 	plan := starvedPlan("a")
 	plan.Standing = append(plan.Standing, scheduling.Standing{Job: "b", Since: start})
 	toLog, toWarn, summary := tracker.Observe(start, jobs, plan)
@@ -46,7 +46,7 @@
 	toLog, toWarn, summary = tracker.Observe(start.Add(time.Second), jobs, plan)
 	is.Equal(len(toLog), 2)
 	is.Equal(len(toWarn), 0)
-	is.Equal(summary, standing.Summary{Jobs: 2, Longest: time.Second, Total: 2 * time.Second})
+	is.Equal(summary, starvation.Summary{Jobs: 2, Longest: time.Second, Total: 2 * time.Second})
 
 	toLog, toWarn, summary = tracker.Observe(start.Add(2*time.Second), jobs, plan)
 	is.Equal(len(toLog), 0)
@@ -62,14 +62,14 @@
 func TestNewCauseIsReported(t *testing.T) {
 	is := is.New(t)
 	jobs := []*controlpb.Job{newJob("a", "a", waiting)}
-	tracker := &standing.Tracker{}
+	tracker := &starvation.Tracker{}
 	tracker.Observe(start, jobs, starvedPlan("a"))
 	tracker.Observe(start.Add(time.Second), jobs, starvedPlan("a"))
 	plan := starvedPlan("a")
 	plan.Standing, plan.Kept = nil, []scheduling.Kept{{Job: "a", Near: "r1"}}
 	toLog, _, summary := tracker.Observe(start.Add(1500*time.Millisecond), jobs, plan)
 	is.Equal(len(toLog), 1)
-	is.Equal(toLog[0].Cause, standing.Cause{Code: "no_free_capacity", Near: "r1"})
+	is.Equal(toLog[0].Cause, starvation.Cause{Code: "no_free_capacity", Near: "r1"})
 	is.Equal(toLog[0].Waited, 1500*time.Millisecond)
 	is.Equal(summary.Jobs, 0)
 }
@@ -79,7 +79,7 @@
 	is := is.New(t)
 	inBackoff := newJob("a", "a", waiting)
 	inBackoff.NotBeforeMs = start.Add(time.Second).UnixMilli()
-	tracker := &standing.Tracker{}
+	tracker := &starvation.Tracker{}
 	tracker.Observe(start, []*controlpb.Job{inBackoff}, starvedPlan("a"))
 	tracker.Observe(start.Add(time.Second), []*controlpb.Job{inBackoff}, starvedPlan("a"))
 	tracker.Observe(start.Add(1500*time.Millisecond), []*controlpb.Job{inBackoff}, &scheduling.Plan{})
--- a/internal/coordination/dispatch/waits.go
+++ b/internal/coordination/dispatch/waits.go
@@ -5,7 +5,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/standing"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/starvation"
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
@@ -18,7 +18,7 @@
 	totalStarvation   = expvar.NewInt("dispatch_standing_total_ms")
 )
 
-func publishStarvation(summary standing.Summary) {
+func publishStarvation(summary starvation.Summary) {
 	starvedJobs.Set(int64(summary.Jobs))
 	longestStarvation.Set(summary.Longest.Milliseconds())
 	totalStarvation.Add(summary.Total.Milliseconds())
@@ -26,7 +26,7 @@
 
 // logWaits logs each job that has waited for long or for a new cause, and warns of each
 // that has been starved for long.
-func (d *Dispatcher) logWaits(state *store.State, toLog, toWarn []standing.Wait) {
+func (d *Dispatcher) logWaits(state *store.State, toLog, toWarn []starvation.Wait) {
 	if d.config.Logger == nil {
 		return
 	}
@@ -38,7 +38,7 @@
 	}
 }
 
-func waitFields(state *store.State, wait *standing.Wait) logrus.Fields {
+func waitFields(state *store.State, wait *starvation.Wait) logrus.Fields {
 	fields := logrus.Fields{
 		"job": wait.Job.Id, "epoch": wait.Job.Epoch, "queue": wait.Job.WorkClass, "customer": wait.Job.Customer,
 		"code": wait.Cause.Code, "near": wait.Cause.Near, "others": wait.Others,
