--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -138,7 +138,7 @@
 // ObserveStops records stops from the log while another instance leads, so that this
 // instance doesn't restart their waits when it becomes the leader. It does nothing if
 // expired leases are known by other means than waiting, or if this instance never leads:
-// an entry instance has a fifth of a core, too little to scan all jobs for no purpose.
+// an entry instance has a fifth of a core and should not spend it on scanning jobs.
 func (d *Dispatcher) ObserveStops() {
 	if d.config.MayLead && d.config.LeaseOver == nil {
 		d.machine.Follow(d.config.Now(), d.control.State().ActiveJobs())
--- a/internal/coordination/dispatch/passgate.go
+++ b/internal/coordination/dispatch/passgate.go
@@ -12,7 +12,7 @@
 // closer to their deadlines even then.
 const maxPassInterval = time.Second
 
-// passGate skips scheduling passes that would have the same input as the one before.
+// passGate skips scheduling passes while nothing has changed that calls for one.
 // Announcements arrive many times a second and mostly change nothing that a pass reads.
 type passGate struct {
 	index    uint64
