--- a/internal/coordination/dispatch/logging.go
+++ b/internal/coordination/dispatch/logging.go
@@ -10,8 +10,9 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// logMoves logs each change of a job's state that is about to be committed. Moves to
-// RUNNING, which also record completed tasks of a running job, are counted but not logged.
+// logMoves logs each change of a job's state that is about to be committed, except moves to
+// RUNNING. Successful ends of single tasks, which are separate entries of the batch, are
+// not logged either.
 func (d *Dispatcher) logMoves(batch *controlpb.BatchMove) {
 	if d.config.Logger == nil {
 		return
