--- a/internal/coordination/claims/answers.go
+++ b/internal/coordination/claims/answers.go
@@ -15,14 +15,16 @@
 	answerBytes    = expvar.NewInt("claims_answer_bytes")
 )
 
-// answerOverhead is added to a body's size for what surrounds it in memory.
+// answerOverhead is an estimate, in bytes, of the memory that an entry takes
+// beside its body and key.
 const answerOverhead = 512
 
-// Answers keeps whole answers for callers that ask again. It is bounded in time
-// and bytes; when it is full, the customer that keeps most loses its oldest
-// answer, so that one busy customer cannot push out another's.
-type Answers struct {
-	life      time.Duration
+// AnswerCache keeps complete answers for callers that resend a request. Entries
+// expire after ttl, and their total size is limited to maxBytes. At the limit the
+// oldest answer of the customer with the most bytes is evicted, so that a busy
+// customer cannot evict the answers of others.
+type AnswerCache struct {
+	ttl       time.Duration
 	maxBytes  int64
 	mu        sync.Mutex
 	bytes     int64
@@ -30,74 +32,78 @@
 }
 
 type customerAnswers struct {
-	bytes  int64
-	byKey  map[string]*list.Element
-	oldest *list.List
+	bytes int64
+	byKey map[string]*list.Element
+	byAge *list.List
 }
 
-// kept is one answer and the request that it belongs to.
-type kept struct {
+// cachedAnswer is one answer with the key of its request.
+type cachedAnswer struct {
 	key     string
 	answer  *api.Answer
 	expires time.Time
 }
 
-func (k *kept) size() int64 { return int64(len(k.answer.Body)+len(k.key)) + answerOverhead }
+func (entry *cachedAnswer) size() int64 {
+	return int64(len(entry.answer.Body)+len(entry.key)) + answerOverhead
+}
 
-// NewAnswers makes an empty store; each answer is kept for life at most.
-func NewAnswers(life time.Duration, maxBytes int64) *Answers {
-	return &Answers{life: life, maxBytes: maxBytes, customers: map[string]*customerAnswers{}}
+// NewAnswerCache returns an empty cache that keeps each answer for at most ttl
+// and at most maxBytes in all.
+func NewAnswerCache(ttl time.Duration, maxBytes int64) *AnswerCache {
+	return &AnswerCache{ttl: ttl, maxBytes: maxBytes, customers: map[string]*customerAnswers{}}
 }
 
-func (a *Answers) put(customer string, k *kept, now time.Time) {
+func (a *AnswerCache) put(customer string, entry *cachedAnswer, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	own := a.customers[customer]
-	if own == nil {
-		own = &customerAnswers{byKey: map[string]*list.Element{}, oldest: list.New()}
-		a.customers[customer] = own
+	answers := a.customers[customer]
+	if answers == nil {
+		answers = &customerAnswers{byKey: map[string]*list.Element{}, byAge: list.New()}
+		a.customers[customer] = answers
 	}
-	if old := own.byKey[k.key]; old != nil {
+	if old := answers.byKey[entry.key]; old != nil {
 		a.remove(customer, old)
 	}
-	k.expires = now.Add(a.life)
-	own.byKey[k.key] = own.oldest.PushBack(k)
-	own.bytes += k.size()
-	a.bytes += k.size()
-	a.trim(now)
+	entry.expires = now.Add(a.ttl)
+	answers.byKey[entry.key] = answers.byAge.PushBack(entry)
+	answers.bytes += entry.size()
+	a.bytes += entry.size()
+	a.evict(now)
 	answersKept.Add(1)
 	answerBytes.Set(a.bytes)
 }
 
-func (a *Answers) get(customer, key string, now time.Time) *kept {
+func (a *AnswerCache) get(customer, key string, now time.Time) *cachedAnswer {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	own := a.customers[customer]
-	if own == nil || own.byKey[key] == nil {
+	answers := a.customers[customer]
+	if answers == nil || answers.byKey[key] == nil {
 		return nil
 	}
-	k := own.byKey[key].Value.(*kept)
-	if !now.Before(k.expires) {
+	entry := answers.byKey[key].Value.(*cachedAnswer)
+	if !now.Before(entry.expires) {
 		return nil
 	}
-	return k
+	return entry
 }
 
-// trim drops what has expired, then the oldest of the largest customer.
-func (a *Answers) trim(now time.Time) {
+// evict removes expired answers and then, while the cache exceeds its limit, the
+// oldest answer of the customer with the most bytes.
+func (a *AnswerCache) evict(now time.Time) {
 	for name, own := range a.customers {
-		for first := own.oldest.Front(); first != nil && !now.Before(first.Value.(*kept).expires); first = own.oldest.Front() {
+		for first := own.byAge.Front(); first != nil && !now.Before(first.Value.(*cachedAnswer).expires); first = own.byAge.Front() {
 			a.remove(name, first)
 		}
 	}
 	for a.bytes > a.maxBytes {
-		name := a.largest()
-		a.remove(name, a.customers[name].oldest.Front())
+		name := a.largestCustomer()
+		a.remove(name, a.customers[name].byAge.Front())
 		answersEvicted.Add(1)
 	}
 }
 
-func (a *Answers) largest() string {
+func (a *AnswerCache) largestCustomer() string {
 	var largest string
 	var most int64 = -1
 	for name, own := range a.customers {
@@ -108,10 +114,10 @@
 	return largest
 }
 
-func (a *Answers) remove(customer string, element *list.Element) {
-	own := a.customers[customer]
-	k := own.oldest.Remove(element).(*kept)
-	delete(own.byKey, k.key)
-	own.bytes -= k.size()
-	a.bytes -= k.size()
+func (a *AnswerCache) remove(customer string, element *list.Element) {
+	answers := a.customers[customer]
+	entry := answers.byAge.Remove(element).(*cachedAnswer)
+	delete(answers.byKey, entry.key)
+	answers.bytes -= entry.size()
+	a.bytes -= entry.size()
 }
--- a/internal/coordination/claims/batch.go
+++ b/internal/coordination/claims/batch.go
@@ -6,73 +6,75 @@
 )
 
 const (
-	// maxBatch bounds the items that share one command of the log.
+	// maxBatch is the largest number of items in one log command.
 	maxBatch = 256
-	// claimFlights is how many batches of claims are on their way at once. While
-	// all are, claims gather: one at a time needs no waiting, many share a round
-	// trip.
-	claimFlights = 4
-	// settleFlights is less, for nobody waits for an outcome to be recorded.
-	settleFlights = 1
+	// maxClaimBatchesInFlight limits the concurrent proposals of claims. Below the
+	// limit a claim is proposed without delay; at the limit claims queue and share
+	// the next round trip.
+	maxClaimBatchesInFlight = 4
+	// maxSettleBatchesInFlight is lower, because no caller waits for an outcome to
+	// be recorded.
+	maxSettleBatchesInFlight = 1
 )
 
-// batcher gathers items of many requests into few proposals.
+// batcher combines the items of concurrent requests into batches.
 type batcher[I, O any] struct {
-	// flush sends items and gives a result for each, or an error for all.
+	// flush sends a batch and returns one result per item in the same order, or an
+	// error for the whole batch.
 	flush func(items []I) ([]O, error)
-	// maxFlights bounds the batches on their way.
-	maxFlights int
-	mu         sync.Mutex
-	waiting    []*batched[I, O]
-	flights    int
+	// maxInFlight limits the batches that are being sent at once.
+	maxInFlight int
+	mu          sync.Mutex
+	queue       []*batchEntry[I, O]
+	inFlight    int
 }
 
-type batched[I, O any] struct {
+type batchEntry[I, O any] struct {
 	item   I
 	result O
 	err    error
 	done   chan struct{}
 }
 
-// do waits for the item's result. sent is false where ctx ended before the item
-// was taken into a batch; such an item is never sent.
+// do queues an item and waits for its result. sent is false if ctx ended before
+// the item was put into a batch; such an item is never sent.
 func (b *batcher[I, O]) do(ctx context.Context, item I) (result O, sent bool, err error) {
-	entry := &batched[I, O]{item: item, done: make(chan struct{})}
-	b.add(entry)
+	entry := &batchEntry[I, O]{item: item, done: make(chan struct{})}
+	b.enqueue(entry)
 	select {
 	case <-entry.done:
 		return entry.result, true, entry.err
 	case <-ctx.Done():
-		return result, !b.withdraw(entry), context.Cause(ctx)
+		return result, !b.dequeue(entry), context.Cause(ctx)
 	}
 }
 
-func (b *batcher[I, O]) add(entry *batched[I, O]) {
+func (b *batcher[I, O]) enqueue(entry *batchEntry[I, O]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = append(b.waiting, entry)
-	if b.flights < b.maxFlights {
-		b.flights++
-		go b.fly()
+	b.queue = append(b.queue, entry)
+	if b.inFlight < b.maxInFlight {
+		b.inFlight++
+		go b.sendBatches()
 	}
 }
 
-func (b *batcher[I, O]) withdraw(entry *batched[I, O]) bool {
+func (b *batcher[I, O]) dequeue(entry *batchEntry[I, O]) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for i, waiting := range b.waiting {
-		if waiting == entry {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+	for i, queued := range b.queue {
+		if queued == entry {
+			b.queue = append(b.queue[:i], b.queue[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// fly sends batches until nothing waits.
-func (b *batcher[I, O]) fly() {
+// sendBatches sends batches until the queue is empty.
+func (b *batcher[I, O]) sendBatches() {
 	for {
-		batch := b.next()
+		batch := b.nextBatch()
 		if batch == nil {
 			return
 		}
@@ -90,15 +92,15 @@
 	}
 }
 
-func (b *batcher[I, O]) next() []*batched[I, O] {
+func (b *batcher[I, O]) nextBatch() []*batchEntry[I, O] {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting) == 0 {
-		b.flights--
+	if len(b.queue) == 0 {
+		b.inFlight--
 		return nil
 	}
-	size := min(len(b.waiting), maxBatch)
-	batch := b.waiting[:size:size]
-	b.waiting = b.waiting[size:]
+	size := min(len(b.queue), maxBatch)
+	batch := b.queue[:size:size]
+	b.queue = b.queue[size:]
 	return batch
 }
--- a/internal/coordination/claims/claim.go
+++ b/internal/coordination/claims/claim.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// proposeTimeout bounds one batch's wait for the log.
+	// proposeTimeout limits the time to commit one batch, retries included.
 	proposeTimeout = 5 * time.Second
-	// claimPause is the time before a proposal that was lost is made again.
-	claimPause = 50 * time.Millisecond
-	// settleTries and settlePause bound the tries to record an outcome: about a
-	// minute, longer than an election takes.
-	settleTries = 60
-	settlePause = time.Second
+	// claimRetryInterval is the delay before a proposal with an unknown outcome is
+	// repeated.
+	claimRetryInterval = 50 * time.Millisecond
+	// maxSettleAttempts and settleRetryInterval limit the attempts to record an
+	// outcome to about a minute, which is longer than an election takes.
+	maxSettleAttempts   = 60
+	settleRetryInterval = time.Second
 )
 
-// claim gets the right to run the request, or the claim of another. What the
-// local state already shows needs no word from the log: a claim that is not
-// "not run" never lets another attempt follow.
+// claim returns the request's own new claim and true, or the claim of an earlier
+// call and false. An earlier claim found in the local state is returned without
+// a proposal: unless its outcome is NOT_RUN, it never permits another attempt.
 func (e *Executor) claim(ctx context.Context, request *routing.Request, wanted *controlpb.Claim) (*controlpb.Claim, bool, error) {
 	existing, _ := e.control.State().Claim(request.Customer, request.Key)
 	for {
 		if existing.GetId() != "" && !store.SameRequest(existing, wanted) {
-			return nil, false, reused()
+			return nil, false, keyReusedError()
 		}
 		if existing.GetId() != "" && existing.Outcome != controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN {
 			return existing, false, nil
@@ -40,28 +41,29 @@
 		own := proto.CloneOf(wanted)
 		own.Id = ulid.Make().String()
 		own.Attempt = existing.GetAttempt() + 1
-		standing, err := e.ask(ctx, request, own)
+		current, err := e.proposeClaim(ctx, request, own)
 		if err != nil {
 			return nil, false, err
 		}
-		if standing.Id == own.Id {
-			return standing, true, nil
+		if current.Id == own.Id {
+			return current, true, nil
 		}
-		existing = standing
+		existing = current
 	}
 }
 
-func reused() error {
+func keyReusedError() error {
 	return failure.Ran(failure.KeyReused, failure.NotRunUnknown, nil, "the key was used for another request")
 }
 
-// ask proposes one attempt and gives the claim as it stands. Where the answer
-// never came the attempt is given up: this instance never sends under it, and
-// once the log knows that, a resend may run.
-func (e *Executor) ask(ctx context.Context, request *routing.Request, own *controlpb.Claim) (*controlpb.Claim, error) {
+// proposeClaim proposes one attempt and returns the claim that the key then has.
+// If the result of the proposal is unknown, the attempt is abandoned: this
+// instance never sends the request under it, and once the log records that, a
+// resend may run.
+func (e *Executor) proposeClaim(ctx context.Context, request *routing.Request, own *controlpb.Claim) (*controlpb.Claim, error) {
 	result, sent, err := e.claims.do(ctx, own)
 	if err == nil {
-		return standing(result)
+		return claimFromResult(result)
 	}
 	f := failure.From(err)
 	if sent && f.NotRun != failure.NotRunTrue {
@@ -71,12 +73,12 @@
 	if ctx.Err() != nil {
 		code = failure.DeadlinePassed
 	}
-	lost := failure.Wrap(code, err, "the request could not be claimed and was not sent")
-	lost.RetryAfter = f.RetryAfter
-	return nil, e.refusal(request, lost)
+	notClaimed := failure.Wrap(code, err, "the request could not be claimed and was not sent")
+	notClaimed.RetryAfter = f.RetryAfter
+	return nil, e.refusalError(request, notClaimed)
 }
 
-func standing(result *controlpb.ClaimResult) (*controlpb.Claim, error) {
+func claimFromResult(result *controlpb.ClaimResult) (*controlpb.Claim, error) {
 	switch code := failure.Code(result.Code); code {
 	case "":
 		return result.Claim, nil
@@ -87,31 +89,32 @@
 	}
 }
 
-// proposeClaims commits a batch. A proposal whose outcome was lost, as when the
-// leader dies, is made again: a claim that was committed is found by its id, so
-// a second one changes nothing.
+// proposeClaims commits a batch of claims and returns one result per claim. A
+// proposal whose outcome is unknown, for example because the leader failed, is
+// repeated: a claim that was committed is recognised by its id, so the repetition
+// changes nothing.
 func (e *Executor) proposeClaims(claims []*controlpb.Claim) ([]*controlpb.ClaimResult, error) {
-	ctx, cancel := context.WithTimeout(e.log, proposeTimeout)
+	ctx, cancel := context.WithTimeout(e.logCtx, proposeTimeout)
 	defer cancel()
 	for {
 		op := &controlpb.Command_Claims{Claims: &controlpb.ClaimRequests{Claims: claims}}
 		result, err := e.control.Propose(ctx, &controlpb.Command{Op: op})
 		if err == nil && len(result.Claims) != len(claims) {
-			err = failure.Ran(failure.Internal, failure.NotRunUnknown, nil, "%d claims answered of %d", len(result.Claims), len(claims))
+			err = failure.Ran(failure.Internal, failure.NotRunUnknown, nil, "the log returned %d results for %d claims", len(result.Claims), len(claims))
 		}
 		if err == nil {
 			return result.Claims, nil
 		}
-		if failure.From(err).NotRun == failure.NotRunTrue || !control.Pause(ctx, claimPause) {
+		if failure.From(err).NotRun == failure.NotRunTrue || !control.Pause(ctx, claimRetryInterval) {
 			return nil, err
 		}
 	}
 }
 
-// abandon records that an attempt will never be sent, whether or not its claim
-// was committed.
+// abandon records that the request will never be sent under an attempt, whether
+// or not the attempt's claim was committed.
 func (e *Executor) abandon(own *controlpb.Claim) {
-	abandoned.Add(1)
+	abandonedAttempts.Add(1)
 	e.settle(&controlpb.SettleClaim{
 		Key:       own.Key,
 		Customer:  own.Customer,
@@ -122,15 +125,15 @@
 	})
 }
 
-// settle records an outcome without holding up the caller. A settle that is
-// lost leaves the claim pending, and later unknown: nobody runs it again.
+// settle records an outcome in the background. If it cannot be recorded, the
+// claim stays pending and later becomes unknown; it is never run again.
 func (e *Executor) settle(settle *controlpb.SettleClaim) {
-	e.running.Go(func() {
-		for range settleTries {
-			if _, _, err := e.settles.do(e.log, settle); err == nil {
+	e.background.Go(func() {
+		for range maxSettleAttempts {
+			if _, _, err := e.settles.do(e.logCtx, settle); err == nil {
 				return
 			}
-			if !control.Pause(e.log, settlePause) {
+			if !control.Pause(e.logCtx, settleRetryInterval) {
 				return
 			}
 		}
@@ -138,7 +141,7 @@
 }
 
 func (e *Executor) proposeSettles(settles []*controlpb.SettleClaim) ([]struct{}, error) {
-	ctx, cancel := context.WithTimeout(e.log, proposeTimeout)
+	ctx, cancel := context.WithTimeout(e.logCtx, proposeTimeout)
 	defer cancel()
 	op := &controlpb.Command_Settles{Settles: &controlpb.SettleClaims{Settles: settles}}
 	if _, err := e.control.Propose(ctx, &controlpb.Command{Op: op}); err != nil {
--- a/internal/coordination/claims/earlier.go
+++ b/internal/coordination/claims/earlier.go
@@ -10,30 +10,33 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// Answer gives a customer the outcome of its own request, from whichever
-// instance keeps it. It waits for one that is pending until ctx ends.
+// Answer returns the outcome of a customer's earlier request, fetching the answer
+// from the instance that holds it. It waits for a pending outcome until ctx ends.
+// It fails with not_found where no outcome is known, with outcome_unknown,
+// answer_gone, or the failure that the request ended with.
 func (e *Executor) Answer(ctx context.Context, customer, key string) (*api.Answer, error) {
 	claim, ok := e.control.State().Claim(customer, key)
 	if !ok {
-		return nil, notKnown()
+		return nil, noOutcomeError()
 	}
-	answer, again, err := e.earlier(ctx, claim)
-	if again {
-		return nil, notKnown()
+	answer, notRun, err := e.earlierOutcome(ctx, claim)
+	if notRun {
+		return nil, noOutcomeError()
 	}
 	return answer, err
 }
 
-// notKnown says nothing of whether the request ran: this instance's state may
-// be behind, or the claim expired.
-func notKnown() error {
-	return failure.Ran(failure.NotFound, failure.NotRunUnknown, nil, "no outcome is kept under this key")
+// noOutcomeError does not say whether the request ran: this instance's
+// state may be behind, or the claim may have expired.
+func noOutcomeError() error {
+	return failure.Ran(failure.NotFound, failure.NotRunUnknown, nil, "no outcome is recorded under this key")
 }
 
-// earlier gives the outcome of a request that another call claimed; again says
-// that it surely did not run, so that this one may try.
-func (e *Executor) earlier(ctx context.Context, claim *controlpb.Claim) (answer *api.Answer, again bool, err error) {
-	claim, err = e.await(ctx, claim)
+// earlierOutcome returns the outcome of a request that another call claimed.
+// notRun is true if that request certainly did not run, so that the caller may
+// make another attempt.
+func (e *Executor) earlierOutcome(ctx context.Context, claim *controlpb.Claim) (answer *api.Answer, notRun bool, err error) {
+	claim, err = e.awaitSettled(ctx, claim)
 	if err != nil {
 		return nil, false, err
 	}
@@ -41,73 +44,75 @@
 	case controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN:
 		return nil, true, nil
 	case controlpb.ClaimOutcome_CLAIM_OUTCOME_ANSWERED:
-		answer, err = e.fetch(ctx, claim)
+		answer, err = e.fetchAnswer(ctx, claim)
 		return answer, false, err
 	case controlpb.ClaimOutcome_CLAIM_OUTCOME_FAILED:
-		return nil, false, failure.Ran(failure.Code(claim.Code), failure.NotRunFalse, nil, "the request ran when it was sent before; its answer did not come whole")
+		return nil, false, failure.Ran(failure.Code(claim.Code), failure.NotRunFalse, nil, "the request ran when it was sent earlier; its answer was not received in full")
 	default:
-		return nil, false, stillUnknown("the request was sent before; what became of it is not known")
+		return nil, false, outcomeUnknownError("the request was sent earlier; its outcome is unknown")
 	}
 }
 
-// await waits while the claim is pending, but not past the time at which its
-// holder must have given up.
-func (e *Executor) await(ctx context.Context, claim *controlpb.Claim) (*controlpb.Claim, error) {
-	until := time.UnixMilli(claim.PendingUntilMs).Sub(e.config.Now())
-	ctx, cancel := context.WithTimeout(ctx, until)
+// awaitSettled waits while the claim is pending, but not beyond PendingUntilMs, by
+// which its holder must have given up.
+func (e *Executor) awaitSettled(ctx context.Context, claim *controlpb.Claim) (*controlpb.Claim, error) {
+	remaining := time.UnixMilli(claim.PendingUntilMs).Sub(e.config.Now())
+	ctx, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
 	for claim.Outcome == controlpb.ClaimOutcome_CLAIM_OUTCOME_PENDING {
 		changed := e.control.Changed()
-		if newer, ok := e.control.State().Claim(claim.Customer, claim.Key); ok && newer.Attempt >= claim.Attempt && settled(newer) {
+		if newer, ok := e.control.State().Claim(claim.Customer, claim.Key); ok && newer.Attempt >= claim.Attempt && isSettled(newer) {
 			return newer, nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, stillUnknown("the request was sent before and has no outcome yet")
+			return nil, outcomeUnknownError("the request was sent earlier and has no outcome yet")
 		}
 	}
 	return claim, nil
 }
 
-func settled(claim *controlpb.Claim) bool {
+func isSettled(claim *controlpb.Claim) bool {
 	return claim.Outcome != controlpb.ClaimOutcome_CLAIM_OUTCOME_PENDING
 }
 
-func stillUnknown(text string) error {
-	unknown.Add(1)
+func outcomeUnknownError(text string) error {
+	unknownOutcomes.Add(1)
 	f := failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "%s", text)
-	f.RetryAfter = pollAnswer
+	f.RetryAfter = answerPollInterval
 	return f
 }
 
-// fetch gets the answer from the instance that ran the request. The outcome is
-// known even where the answer is not to be had any more.
-func (e *Executor) fetch(ctx context.Context, claim *controlpb.Claim) (*api.Answer, error) {
+// fetchAnswer returns the answer from the instance that ran the request. It fails
+// with answer_gone where the answer is no longer available: the request is known
+// to have run.
+func (e *Executor) fetchAnswer(ctx context.Context, claim *controlpb.Claim) (*api.Answer, error) {
 	if claim.Instance == e.config.Instance {
-		return e.Kept(claim.Customer, claim.Key)
+		return e.CachedAnswer(claim.Customer, claim.Key)
 	}
 	fetch := &peerpb.FetchAnswer{Customer: claim.Customer, Key: claim.Key}
 	reply, err := e.peers.Call(ctx, claim.Instance, &peerpb.Call{Body: &peerpb.Call_Fetch{Fetch: fetch}})
 	if err != nil {
-		return nil, failure.Ran(failure.AnswerGone, failure.NotRunFalse, err, "the request was answered with status %d; %s keeps the answer and gives none", claim.Status, claim.Instance)
+		return nil, failure.Ran(failure.AnswerGone, failure.NotRunFalse, err, "the request was answered with status %d; instance %s did not return the stored answer", claim.Status, claim.Instance)
 	}
 	answer := reply.GetAnswer()
 	return &api.Answer{Status: int(answer.GetStatus()), ContentType: answer.GetContentType(), Body: answer.GetBody()}, nil
 }
 
-// Kept gives an answer that this instance keeps.
-func (e *Executor) Kept(customer, key string) (*api.Answer, error) {
-	k := e.answers.get(customer, key, e.config.Now())
-	if k == nil {
-		return nil, failure.Ran(failure.AnswerGone, failure.NotRunFalse, nil, "the request was answered; its answer is no longer kept")
+// CachedAnswer returns an answer from this instance's cache, or answer_gone if it
+// has expired or was evicted.
+func (e *Executor) CachedAnswer(customer, key string) (*api.Answer, error) {
+	cached := e.answers.get(customer, key, e.config.Now())
+	if cached == nil {
+		return nil, failure.Ran(failure.AnswerGone, failure.NotRunFalse, nil, "the request was answered; its answer is no longer stored")
 	}
-	return k.answer, nil
+	return cached.answer, nil
 }
 
-// ServeFetch answers another instance's call for a kept answer.
+// ServeFetch serves another instance's request for a cached answer.
 func (e *Executor) ServeFetch(fetch *peerpb.FetchAnswer) (*peerpb.Reply, error) {
-	answer, err := e.Kept(fetch.Customer, fetch.Key)
+	answer, err := e.CachedAnswer(fetch.Customer, fetch.Key)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/claims/executor.go
+++ b/internal/coordination/claims/executor.go
@@ -1,6 +1,7 @@
 // Package claims runs a request that is not idempotent at most once, whichever
-// instances its caller asks: the right to run it is committed to the replicated
-// log before it is sent, and its answer is kept for a caller that asks again.
+// instances its caller sends it to. The right to run a request, its claim, is
+// committed to the replicated log before the request is sent, and its answer is
+// cached for a caller that resends it.
 package claims
 
 import (
@@ -21,153 +22,160 @@
 )
 
 var (
-	refused   = expvar.NewInt("claims_refused")
-	resent    = expvar.NewInt("claims_resent")
-	unknown   = expvar.NewInt("claims_unknown")
-	abandoned = expvar.NewInt("claims_abandoned")
-	late      = expvar.NewInt("claims_late_answers")
-	cutAtStop = expvar.NewInt("claims_cut_at_stop")
+	refusals          = expvar.NewInt("claims_refused")
+	resends           = expvar.NewInt("claims_resent")
+	unknownOutcomes   = expvar.NewInt("claims_unknown")
+	abandonedAttempts = expvar.NewInt("claims_abandoned")
+	lateAnswers       = expvar.NewInt("claims_late_answers")
+	cancelledAtStop   = expvar.NewInt("claims_cut_at_stop")
 )
 
 const (
-	// lateWindow is how long an answer is still taken for its record after the
-	// caller stopped waiting. It is part of how long a claim can be pending.
-	lateWindow = 5 * time.Second
-	// pendingMargin is added to a claim's pending time for its way to the log.
+	// lateAnswerWindow is how long after the caller's deadline an answer is still
+	// accepted and recorded. It is part of the time for which a claim can be pending.
+	lateAnswerWindow = 5 * time.Second
+	// pendingMargin is added to a claim's pending time for the commit of its outcome.
 	pendingMargin = 2 * time.Second
-	// holdIdempotent is the largest answer held whole for a request that can be
-	// sent again: 400 in flight hold 25 MB.
-	holdIdempotent = 64 << 10
-	// holdKept is the largest answer that is held whole, and so can be kept.
-	holdKept = 1 << 20
+	// maxBufferedIdempotent is the largest answer, in bytes, that is buffered for an
+	// idempotent request; a larger one is streamed. 400 requests in flight buffer at
+	// most 25 MB.
+	maxBufferedIdempotent = 64 << 10
+	// maxBufferedClaimed is the largest answer, in bytes, that is buffered for a
+	// claimed request. Only buffered answers can be cached.
+	maxBufferedClaimed = 1 << 20
 )
 
-// Control is the replicated log as claims use it.
+// Control is the part of control.Log that claims use.
 type Control interface {
 	State() *store.State
-	// Changed gives a channel that is closed when the state next changes.
+	// Changed returns a channel that is closed at the next change of the state.
 	Changed() <-chan struct{}
 	Fresh() error
 	Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error)
 }
 
-// Sender takes a request to a minion and its answer back. It sends a request
-// that is not idempotent again only where it surely did not run.
+// Sender sends a request to a minion and returns its answer. It retries a request
+// that is not idempotent only if it certainly did not run.
 type Sender interface {
 	Send(ctx context.Context, request *routing.Request, idempotent bool) (*api.Answer, error)
 }
 
-// Peers asks other instances for answers that they keep.
+// Peers calls other instances, to fetch the answers that they cache.
 type Peers interface {
 	Call(ctx context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error)
 }
 
-// Config of an executor.
+// Config configures an Executor.
 type Config struct {
+	// Instance is the name of this instance.
 	Instance string
-	// KeepAnswers and KeepBytes bound the answers kept for resends.
+	// KeepAnswers and KeepBytes limit the age and the total size of the answers
+	// cached for resends.
 	KeepAnswers time.Duration
 	KeepBytes   int64
 	Now         func() time.Time
 }
 
-// Executor answers requests.
+// Executor executes callers' requests. It is safe for concurrent use.
 type Executor struct {
 	config  Config
 	control Control
 	sender  Sender
 	peers   Peers
-	answers *Answers
+	answers *AnswerCache
 	claims  batcher[*controlpb.Claim, *controlpb.ClaimResult]
 	settles batcher[*controlpb.SettleClaim, struct{}]
-	// running counts claimed requests and the settling of their claims.
-	running sync.WaitGroup
-	// base ends when requests are cut at a stop; log ends after that, when
-	// outcomes can no longer be recorded.
-	base   context.Context
-	cut    context.CancelFunc
-	log    context.Context
-	endLog context.CancelFunc
+	// background counts the goroutines that send claimed requests or settle claims.
+	background sync.WaitGroup
+	// requestsCtx is cancelled to end all requests at a stop; logCtx is cancelled
+	// after that, when outcomes can no longer be recorded.
+	requestsCtx    context.Context
+	cancelRequests context.CancelFunc
+	logCtx         context.Context
+	cancelLog      context.CancelFunc
 }
 
-// New makes an executor.
+// New returns an Executor; Stop releases it.
 func New(config Config, control Control, sender Sender, peers Peers) *Executor {
-	base, cut := context.WithCancel(context.Background())
-	log, endLog := context.WithCancel(context.Background())
+	requestsCtx, cancelRequests := context.WithCancel(context.Background())
+	logCtx, cancelLog := context.WithCancel(context.Background())
 	e := &Executor{
-		config:  config,
-		control: control,
-		sender:  sender,
-		peers:   peers,
-		answers: NewAnswers(config.KeepAnswers, config.KeepBytes),
-		base:    base,
-		cut:     cut,
-		log:     log,
-		endLog:  endLog,
+		config:         config,
+		control:        control,
+		sender:         sender,
+		peers:          peers,
+		answers:        NewAnswerCache(config.KeepAnswers, config.KeepBytes),
+		requestsCtx:    requestsCtx,
+		cancelRequests: cancelRequests,
+		logCtx:         logCtx,
+		cancelLog:      cancelLog,
 	}
-	e.claims.flush, e.claims.maxFlights = e.proposeClaims, claimFlights
-	e.settles.flush, e.settles.maxFlights = e.proposeSettles, settleFlights
+	e.claims.flush, e.claims.maxInFlight = e.proposeClaims, maxClaimBatchesInFlight
+	e.settles.flush, e.settles.maxInFlight = e.proposeSettles, maxSettleBatchesInFlight
 	return e
 }
 
-// Do answers one request within the time that its service and its caller give.
-// It sets the request's key where the caller gave none.
+// Do executes one request within the service's timeout and ctx, whichever ends
+// first. It generates the request's key if the caller gave none. failure.From of
+// its error tells whether the request ran.
 func (e *Executor) Do(ctx context.Context, request *routing.Request) (*api.Answer, error) {
 	request.KeyGiven = request.Key != ""
 	if !request.KeyGiven {
 		request.Key = e.newKey()
 	}
 	if err := e.control.Fresh(); err != nil {
-		return nil, e.refusal(request, err)
+		return nil, e.refusalError(request, err)
 	}
 	service, ok := e.control.State().Service(request.Service)
 	if !ok {
-		return nil, e.refusal(request, failure.New(failure.NotFound, "no service %q", request.Service))
+		return nil, e.refusalError(request, failure.New(failure.NotFound, "no service %q", request.Service))
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(service.TimeoutMs)*time.Millisecond)
 	defer cancel()
-	stop := context.AfterFunc(e.base, cancel)
+	stop := context.AfterFunc(e.requestsCtx, cancel)
 	defer stop()
 	request.Call = api.ServeCall{Service: request.Service, Body: request.Body, Sink: request.Sink}
-	send := e.once
+	send := e.runOnce
 	if service.Idempotent {
-		send = e.repeatable
+		send = e.sendIdempotent
 	}
 	answer, err := send(ctx, request)
-	return answer, e.atStop(err)
+	return answer, e.stopError(err)
 }
 
-// atStop names the stop as the reason where a request is handed back for it.
-func (e *Executor) atStop(err error) error {
-	if err == nil || e.base.Err() == nil || failure.From(err).NotRun != failure.NotRunTrue {
+// stopError replaces the error of a request that did not run because of a stop by
+// not_ready. All other errors are returned unchanged.
+func (e *Executor) stopError(err error) error {
+	if err == nil || e.requestsCtx.Err() == nil || failure.From(err).NotRun != failure.NotRunTrue {
 		return err
 	}
-	cutAtStop.Add(1)
-	f := failure.Wrap(failure.NotReady, err, "the instance stops")
-	f.RetryAfter = pollAnswer
+	cancelledAtStop.Add(1)
+	f := failure.Wrap(failure.NotReady, err, "the instance is stopping")
+	f.RetryAfter = answerPollInterval
 	return f
 }
 
-// newKey makes a key that carries its time of making: the later of this clock
-// and the log's, for a key too old by the log's time is refused as expired.
+// newKey generates a ULID. Its timestamp is the later of the local clock and the
+// log's time, because a key that is too old by the log's time is refused as
+// expired.
 func (e *Executor) newKey() string {
 	now := max(e.config.Now().UnixMilli(), e.control.State().Time().UnixMilli())
 	return ulid.MustNew(uint64(now), ulid.DefaultEntropy()).String()
 }
 
-// repeatable sends a request that may run any number of times. Its identity is
-// new each time, so that an answer to an earlier use of the key is not taken
-// for this one's.
-func (e *Executor) repeatable(ctx context.Context, request *routing.Request) (*api.Answer, error) {
+// sendIdempotent sends a request that may run any number of times. Each call gets
+// a new ID, so that an answer to an earlier use of the key is not mistaken for the
+// answer to this one.
+func (e *Executor) sendIdempotent(ctx context.Context, request *routing.Request) (*api.Answer, error) {
 	request.Call.ID = ulid.Make().String()
-	request.Call.Hold = holdIdempotent
+	request.Call.Hold = maxBufferedIdempotent
 	return e.sender.Send(ctx, request, true)
 }
 
-// once claims the request's key and runs the request, or gives the outcome of
-// whoever claimed the key before.
-func (e *Executor) once(ctx context.Context, request *routing.Request) (*api.Answer, error) {
-	wanted := e.wanted(ctx, request)
+// runOnce claims the request's key and runs the request, or returns the outcome of
+// the call that claimed the key earlier.
+func (e *Executor) runOnce(ctx context.Context, request *routing.Request) (*api.Answer, error) {
+	wanted := e.newClaim(ctx, request)
 	for {
 		claim, won, err := e.claim(ctx, request, wanted)
 		if err != nil {
@@ -179,16 +187,16 @@
 			}
 			return e.run(ctx, request, claim)
 		}
-		answer, again, err := e.earlier(ctx, claim)
-		if !again {
-			resent.Add(1)
+		answer, notRun, err := e.earlierOutcome(ctx, claim)
+		if !notRun {
+			resends.Add(1)
 			return answer, err
 		}
 	}
 }
 
-// wanted is the claim that the request needs, its attempt still open.
-func (e *Executor) wanted(ctx context.Context, request *routing.Request) *controlpb.Claim {
+// newClaim returns the claim for a request. Its attempt number and id are not set.
+func (e *Executor) newClaim(ctx context.Context, request *routing.Request) *controlpb.Claim {
 	hash := sha256.Sum256(request.Body)
 	deadline, _ := ctx.Deadline()
 	return &controlpb.Claim{
@@ -197,16 +205,16 @@
 		Service:        request.Service,
 		BodyHash:       hash[:],
 		Instance:       e.config.Instance,
-		PendingUntilMs: deadline.Add(lateWindow + pendingMargin).UnixMilli(),
+		PendingUntilMs: deadline.Add(lateAnswerWindow + pendingMargin).UnixMilli(),
 	}
 }
 
-// refusal reports a request that was turned away before its claim was read.
-// Under a key of the caller's own an earlier call may have run it, here or
-// elsewhere: "not run" would be a lie about the key, and the caller, who can
-// send the same key again safely, loses nothing by "unknown".
-func (e *Executor) refusal(request *routing.Request, err error) error {
-	refused.Add(1)
+// refusalError converts the error of a request that was refused before its claim
+// was read. With a key given by the caller, an earlier call may have run the
+// request on this or another instance, so "not run" could be false for the key;
+// "unknown" is returned instead, and the caller can safely resend the same key.
+func (e *Executor) refusalError(request *routing.Request, err error) error {
+	refusals.Add(1)
 	f := failure.From(err)
 	if !request.KeyGiven || f.NotRun != failure.NotRunTrue {
 		return f
@@ -216,17 +224,17 @@
 	return &own
 }
 
-// Cut ends every request now: one that waits is handed back as not run, one
-// that is at a minion is reported as unknown.
-func (e *Executor) Cut() { e.cut() }
+// Cut cancels all requests: a queued request fails as not run, one that a minion
+// may be running is reported with an unknown outcome.
+func (e *Executor) Cut() { e.cancelRequests() }
 
-// Stop waits until every outcome is in the log, or ctx ends. A claim that is
-// left pending becomes unknown; it is never run again.
+// Stop waits until all outcomes are recorded in the log or ctx ends. A claim that
+// is still pending then becomes unknown; it is never run again.
 func (e *Executor) Stop(ctx context.Context) {
-	defer e.endLog()
+	defer e.cancelLog()
 	done := make(chan struct{})
 	go func() {
-		e.running.Wait()
+		e.background.Wait()
 		close(done)
 	}()
 	select {
--- a/internal/coordination/claims/executor_test.go
+++ b/internal/coordination/claims/executor_test.go
@@ -16,18 +16,19 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-func expect(is *is.I, err error, code failure.Code, notRun failure.NotRun) {
+func expectFailure(is *is.I, err error, code failure.Code, notRun failure.NotRun) {
 	is.Helper()
 	f := failure.From(err)
 	is.Equal(f.Code, code)
 	is.Equal(f.NotRun, notRun)
 }
 
-var errLost = failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "the leader died")
+var errLost = failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "the leader failed")
 
-// A caller sends a cutting order to one instance and, hearing nothing, to
-// another, while the first still waits for the minion. Both calls get the one
-// answer; the order runs once.
+// A caller sends a request to one instance and, after no response, resends it to
+// another while the first still waits for the minion. The request runs once and
+// all calls get the same answer. The answer is visible only to its customer, and
+// once the instance that holds it has failed, the outcome is answer_gone.
 func TestResendGetsTheFirstAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,9 +45,9 @@
 		group.Wait()
 		is.Equal(c.minion.runs, 1)
 		_, err := c.do(t.Context(), "i2", "order-7", "oak")
-		expect(is, err, failure.KeyReused, failure.NotRunUnknown)
+		expectFailure(is, err, failure.KeyReused, failure.NotRunUnknown)
 		_, err = c.executors["i2"].Answer(t.Context(), "planners", "order-7")
-		expect(is, err, failure.NotFound, failure.NotRunUnknown)
+		expectFailure(is, err, failure.NotFound, failure.NotRunUnknown)
 		answer, err := c.executors["i2"].Answer(t.Context(), "crews", "order-7")
 		is.NoErr(err)
 		is.Equal(string(answer.Body), "cut crews/order-7")
@@ -54,27 +55,27 @@
 		claim, _ := c.log.State().Claim("crews", "order-7")
 		other := map[string]string{"i1": "i2", "i2": "i1"}[claim.Instance]
 		_, err = c.executors[other].Answer(t.Context(), "crews", "order-7")
-		expect(is, err, failure.AnswerGone, failure.NotRunFalse)
+		expectFailure(is, err, failure.AnswerGone, failure.NotRunFalse)
 	})
 }
 
-// The leader dies after it committed a claim and before it said so. The
-// request must not be sent. A caller that let us make the key is told "not
-// run"; one with its own key may have sent it before, and is told "unknown".
-// The claim that stands must not hold up the resend.
+// The leader fails after committing a claim and before returning the result. The
+// request must not be sent. With a generated key the caller gets "not run"; with a
+// key of its own it may have sent the request earlier, and gets "unknown". The
+// committed claim must not block a resend.
 func TestClaimWithLostResult(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
 		defer c.stop()
-		c.log.fail(nil, errLost)
+		c.log.setErrors(nil, errLost)
 		_, err := c.do(t.Context(), "i1", "", "ash")
-		expect(is, err, failure.OutcomeUnknown, failure.NotRunTrue)
+		expectFailure(is, err, failure.OutcomeUnknown, failure.NotRunTrue)
 		_, err = c.do(t.Context(), "i1", "order-7", "ash")
-		expect(is, err, failure.OutcomeUnknown, failure.NotRunUnknown)
+		expectFailure(is, err, failure.OutcomeUnknown, failure.NotRunUnknown)
 		is.Equal(c.minion.runs, 0)
-		c.log.fail(nil, nil)
-		time.Sleep(2 * settlePause)
+		c.log.setErrors(nil, nil)
+		time.Sleep(2 * settleRetryInterval)
 		text, err := c.do(t.Context(), "i2", "order-7", "ash")
 		is.NoErr(err)
 		is.Equal(text, "cut crews/order-7")
@@ -82,24 +83,25 @@
 	})
 }
 
-// The leader dies after it committed a claim; the next one answers a moment
-// later. The claim is found as this request's own, which runs, once.
+// The leader fails after committing a claim, and its successor responds 1 s later.
+// The repeated proposal finds the claim as the request's own; the request runs
+// once.
 func TestClaimSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
 		defer c.stop()
-		c.log.fail(nil, errLost)
-		time.AfterFunc(time.Second, func() { c.log.fail(nil, nil) })
+		c.log.setErrors(nil, errLost)
+		time.AfterFunc(time.Second, func() { c.log.setErrors(nil, nil) })
 		_, err := c.do(t.Context(), "i1", "order-7", "ash")
 		is.NoErr(err)
 		is.Equal(c.minion.runs, 1)
 	})
 }
 
-// An instance that is cut off gets a request. Under a key that it made it says
-// "not run". Under the caller's own key it cannot know whether another instance
-// ran the request before, so it doesn't.
+// A partitioned instance, or one without a leader, refuses a request. With a
+// generated key the refusal says "not run". With the caller's own key it says
+// "unknown", because another instance may have run the request earlier.
 func TestRefusalBeforeTheClaimIsRead(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -115,25 +117,26 @@
 			cluster := newCluster()
 			cluster.log.fresh = failure.New(failure.StaleState, "cut off")
 			_, err := cluster.do(t.Context(), "i1", c.key, "ash")
-			expect(is, err, failure.StaleState, c.notRun)
+			expectFailure(is, err, failure.StaleState, c.notRun)
 			cluster.log.fresh = nil
-			cluster.log.fail(failure.New(failure.NoLeader, "no leader"), nil)
+			cluster.log.setErrors(failure.New(failure.NoLeader, "no leader"), nil)
 			_, err = cluster.do(t.Context(), "i1", c.key, "ash")
-			expect(is, err, failure.NoLeader, c.notRun)
+			expectFailure(is, err, failure.NoLeader, c.notRun)
 			is.Equal(cluster.minion.runs, 0)
 		})
 	}
 }
 
-// A crew hangs up. If no minion has its order yet, it surely doesn't run, and
-// the next call may. If one has, the crew is told "unknown"; the answer that
-// comes late goes to the order's own record, where the next call finds it.
+// A caller disconnects. If no minion has received the request, it does not run and
+// a later call may run it. Otherwise the caller gets "unknown" at its deadline,
+// and the late answer is recorded under the request's key, where the next call
+// finds it.
 func TestCallerGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
 		defer c.stop()
-		run := c.minion.serve
+		serve := c.minion.serve
 		c.minion.serve = func(ctx context.Context, _ *routing.Request) (*api.Answer, error) {
 			<-ctx.Done()
 			return nil, failure.Wrap(failure.DeadlinePassed, ctx.Err(), "still queued")
@@ -141,15 +144,15 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := c.do(ctx, "i1", "order-7", "ash")
-		expect(is, err, failure.DeadlinePassed, failure.NotRunTrue)
+		expectFailure(is, err, failure.DeadlinePassed, failure.NotRunTrue)
 
-		c.minion.serve = run
+		c.minion.serve = serve
 		ctx, cancel = context.WithTimeout(t.Context(), 20*time.Millisecond)
 		defer cancel()
 		start := time.Now()
 		_, err = c.do(ctx, "i1", "order-7", "ash")
-		expect(is, err, failure.OutcomeUnknown, failure.NotRunUnknown)
-		is.Equal(time.Since(start), 20*time.Millisecond) // told at once, at its deadline
+		expectFailure(is, err, failure.OutcomeUnknown, failure.NotRunUnknown)
+		is.Equal(time.Since(start), 20*time.Millisecond) // without delay after the deadline
 		text, err := c.do(t.Context(), "i2", "order-7", "ash")
 		is.NoErr(err)
 		is.Equal(text, "cut crews/order-7")
@@ -157,8 +160,8 @@
 	})
 }
 
-// An instance dies with a claim. A resend waits only until the instance must
-// have given up, then gets "unknown"; it never runs.
+// An instance fails while it holds a pending claim. A resend waits until the
+// claim's pending time has ended and then gets "unknown"; it never runs.
 func TestClaimantDies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -168,19 +171,19 @@
 		request := &routing.Request{Customer: "crews", Key: "order-7", Service: "cut-order", Body: []byte("ash")}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		claim.BodyHash = c.executors["i1"].wanted(ctx, request).BodyHash
+		claim.BodyHash = c.executors["i1"].newClaim(ctx, request).BodyHash
 		claim.PendingUntilMs = time.Now().Add(3 * time.Second).UnixMilli()
 		c.log.apply(&controlpb.Command{Op: &controlpb.Command_Claims{Claims: &controlpb.ClaimRequests{Claims: []*controlpb.Claim{claim}}}})
 		start := time.Now()
 		_, err := c.do(t.Context(), "i2", "order-7", "ash")
-		expect(is, err, failure.OutcomeUnknown, failure.NotRunUnknown)
+		expectFailure(is, err, failure.OutcomeUnknown, failure.NotRunUnknown)
 		is.Equal(time.Since(start), 3*time.Second)
 		is.Equal(c.minion.runs, 0)
 	})
 }
 
-// What a resend of each first outcome gets: the same outcome, or a run where
-// the first surely did not.
+// A resend gets the outcome of the first call, or runs the request if the first
+// call certainly did not.
 func TestOutcomeIsTheSameForResends(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -202,13 +205,13 @@
 				is := is.New(t)
 				cluster := newCluster()
 				defer cluster.stop()
-				run := cluster.minion.serve
+				serve := cluster.minion.serve
 				cluster.minion.serve = func(context.Context, *routing.Request) (*api.Answer, error) { return c.answer, c.err }
 				_, _ = cluster.do(t.Context(), "i1", "order-7", "ash")
-				cluster.minion.serve = run
+				cluster.minion.serve = serve
 				_, err := cluster.do(t.Context(), "i2", "order-7", "ash")
 				if c.runs == 0 {
-					expect(is, err, c.code, c.notRun)
+					expectFailure(is, err, c.code, c.notRun)
 				} else {
 					is.NoErr(err)
 				}
@@ -218,9 +221,9 @@
 	}
 }
 
-// The grace of a stop ends. The request that waits for a minion is handed back
-// as not run, the one at a minion is reported as unknown, both at once; their
-// outcomes still reach the log.
+// The grace period of a stop ends. The request that is queued for a minion fails
+// as not run, the one at a minion gets an unknown outcome, both immediately. Their
+// outcomes are still recorded in the log.
 func TestCutAtStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -242,8 +245,8 @@
 		c.executors["i1"].Cut()
 		group.Wait()
 		is.Equal(time.Since(start), time.Duration(0))
-		expect(is, atMinion, failure.OutcomeUnknown, failure.NotRunUnknown)
-		expect(is, queued, failure.NotReady, failure.NotRunTrue)
+		expectFailure(is, atMinion, failure.OutcomeUnknown, failure.NotRunUnknown)
+		expectFailure(is, queued, failure.NotReady, failure.NotRunTrue)
 		c.executors["i1"].Stop(t.Context())
 		for key, outcome := range map[string]controlpb.ClaimOutcome{
 			"at-minion": controlpb.ClaimOutcome_CLAIM_OUTCOME_ANSWERED,
@@ -255,8 +258,9 @@
 	})
 }
 
-// Claims that arrive while others are on their way share a command of the log.
-func TestClaimsShareCommands(t *testing.T) {
+// Claims that arrive while others are being proposed share one log command: 200
+// requests take fewer than 20 commands.
+func TestConcurrentClaimsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
@@ -276,18 +280,18 @@
 	})
 }
 
-// One busy customer fills the kept answers; another's few stay.
-func TestLargestCustomerLosesAnswersFirst(t *testing.T) {
+// One customer fills the answer cache; the only answer of another is not evicted.
+func TestLargestCustomerIsEvictedFirst(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(0, 0)
-	answers := NewAnswers(time.Minute, 10<<10)
-	answers.put("planners", &kept{key: "only", answer: &api.Answer{}}, now)
+	cache := NewAnswerCache(time.Minute, 10<<10)
+	cache.put("planners", &cachedAnswer{key: "only", answer: &api.Answer{}}, now)
 	for i := range 50 {
-		answers.put("crews", &kept{key: fmt.Sprint(i), answer: &api.Answer{Body: make([]byte, 1<<10)}}, now)
+		cache.put("crews", &cachedAnswer{key: fmt.Sprint(i), answer: &api.Answer{Body: make([]byte, 1<<10)}}, now)
 	}
-	is.True(answers.bytes <= 10<<10)
-	is.True(answers.get("planners", "only", now) != nil)
-	is.True(answers.get("crews", "0", now) == nil)
-	is.True(answers.get("crews", "49", now) != nil)
-	is.True(answers.get("crews", "49", now.Add(time.Minute)) == nil)
+	is.True(cache.bytes <= 10<<10)
+	is.True(cache.get("planners", "only", now) != nil)
+	is.True(cache.get("crews", "0", now) == nil)
+	is.True(cache.get("crews", "49", now) != nil)
+	is.True(cache.get("crews", "49", now.Add(time.Minute)) == nil)
 }
--- a/internal/coordination/claims/fakes_test.go
+++ b/internal/coordination/claims/fakes_test.go
@@ -13,17 +13,18 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// commitDelay is how long the fake log takes for a command.
+// commitDelay is the time that fakeLog takes to commit a command.
 const commitDelay = 2 * time.Millisecond
 
-// fakeLog is one replicated log that several executors share.
+// fakeLog is an in-memory replicated log shared by several executors.
 type fakeLog struct {
 	mu      sync.Mutex
 	state   *store.State
 	changed chan struct{}
 	fresh   error
-	// refuse fails a command before it is committed, lose after that.
-	refuse, lose error
+	// errBeforeCommit, if set, fails a command that is then not committed;
+	// errAfterCommit fails it after the commit.
+	errBeforeCommit, errAfterCommit error
 }
 
 func newFakeLog() *fakeLog {
@@ -67,7 +68,7 @@
 func (l *fakeLog) Propose(_ context.Context, command *controlpb.Command) (*controlpb.Result, error) {
 	time.Sleep(commitDelay)
 	l.mu.Lock()
-	refuse, lose := l.refuse, l.lose
+	refuse, lose := l.errBeforeCommit, l.errAfterCommit
 	l.mu.Unlock()
 	if refuse != nil {
 		return nil, refuse
@@ -79,13 +80,13 @@
 	return result, nil
 }
 
-func (l *fakeLog) fail(refuse, lose error) {
+func (l *fakeLog) setErrors(refuse, lose error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refuse, l.lose = refuse, lose
+	l.errBeforeCommit, l.errAfterCommit = refuse, lose
 }
 
-// fakeMinion records runs; serve decides what becomes of each.
+// fakeMinion counts runs; serve determines the result of each.
 type fakeMinion struct {
 	mu    sync.Mutex
 	runs  int
@@ -96,19 +97,20 @@
 	return m.serve(ctx, request)
 }
 
-// run is a dispatch that takes a time, whatever becomes of the caller.
-func (m *fakeMinion) run(request *routing.Request, takes time.Duration) (*api.Answer, error) {
+// run simulates a dispatched request that takes duration to run, also if the
+// caller's context ends earlier.
+func (m *fakeMinion) run(request *routing.Request, duration time.Duration) (*api.Answer, error) {
 	if request.Call.Dispatched != nil {
 		request.Call.Dispatched(true)
 	}
 	m.mu.Lock()
 	m.runs++
 	m.mu.Unlock()
-	time.Sleep(takes)
+	time.Sleep(duration)
 	return &api.Answer{Status: 200, Body: []byte("cut " + request.Call.ID)}, nil
 }
 
-// cluster is executors i1 and i2 with one log and one minion.
+// cluster is a pair of executors, i1 and i2, that share one log and one minion.
 type cluster struct {
 	log       *fakeLog
 	minion    *fakeMinion
@@ -145,7 +147,7 @@
 	return string(answer.Body), nil
 }
 
-// stop lets what goes on in the background end.
+// stop waits for the background work of all executors.
 func (c *cluster) stop() {
 	for _, executor := range c.executors {
 		executor.Stop(context.Background())
--- a/internal/coordination/claims/run.go
+++ b/internal/coordination/claims/run.go
@@ -11,59 +11,59 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// outcome is what sending gave.
-type outcome struct {
+// sendResult is the result of Sender.Send.
+type sendResult struct {
 	answer *api.Answer
 	err    error
 }
 
-// flight is one claimed request on its way.
-type flight struct {
-	done chan outcome
-	// atMinion is whether a minion may be running the request; moved is told of
-	// each change.
+// inFlightRequest is one claimed request that is being sent.
+type inFlightRequest struct {
+	done chan sendResult
+	// atMinion is true while a minion may be running the request; changed is
+	// signalled at each change.
 	atMinion atomic.Bool
-	moved    chan struct{}
+	changed  chan struct{}
 }
 
-func (f *flight) dispatched(at bool) {
+func (f *inFlightRequest) setDispatched(at bool) {
 	f.atMinion.Store(at)
 	select {
-	case f.moved <- struct{}{}:
+	case f.changed <- struct{}{}:
 	default:
 	}
 }
 
-// run sends a claimed request. Sending outlives the caller: an answer that
-// comes after the caller's deadline, or after it went away, still settles the
-// claim and is kept for a resend.
+// run sends a claimed request. Sending continues after the caller's deadline or
+// disconnection: a late answer still settles the claim and is cached for a resend.
 func (e *Executor) run(ctx context.Context, request *routing.Request, claim *controlpb.Claim) (*api.Answer, error) {
-	f := &flight{done: make(chan outcome, 1), moved: make(chan struct{}, 1)}
+	f := &inFlightRequest{done: make(chan sendResult, 1), changed: make(chan struct{}, 1)}
 	request.Call.ID = request.Customer + "/" + request.Key
-	request.Call.Hold = holdKept
-	request.Call.Late = lateWindow
-	request.Call.Dispatched = f.dispatched
-	e.running.Go(func() {
+	request.Call.Hold = maxBufferedClaimed
+	request.Call.Late = lateAnswerWindow
+	request.Call.Dispatched = f.setDispatched
+	e.background.Go(func() {
 		answer, err := e.sender.Send(ctx, request, false)
-		e.record(ctx, claim, answer, err)
-		f.done <- outcome{answer, err}
+		e.recordOutcome(ctx, claim, answer, err)
+		f.done <- sendResult{answer, err}
 	})
 	select {
 	case o := <-f.done:
 		return o.answer, o.err
 	case <-ctx.Done():
-		return e.afterWait(f)
+		return e.resultAfterCancel(f)
 	}
 }
 
-// afterWait tells a caller whose time is over what is known. A request that no
-// minion has comes back at once, for sending goes no further.
-func (e *Executor) afterWait(f *flight) (*api.Answer, error) {
+// resultAfterCancel returns what is known of the request after the caller's
+// context has ended. If no minion has the request, it returns as soon as Send
+// does, which is immediate, since a cancelled request is not dispatched.
+func (e *Executor) resultAfterCancel(f *inFlightRequest) (*api.Answer, error) {
 	for !f.atMinion.Load() {
 		select {
 		case o := <-f.done:
 			return o.answer, o.err
-		case <-f.moved:
+		case <-f.changed:
 		}
 	}
 	select {
@@ -71,25 +71,26 @@
 		return o.answer, o.err
 	default:
 	}
-	if e.base.Err() != nil {
-		cutAtStop.Add(1)
+	if e.requestsCtx.Err() != nil {
+		cancelledAtStop.Add(1)
 	}
-	return nil, stillUnknown("the request was sent; its answer has not come in time")
+	return nil, outcomeUnknownError("the request was sent; no answer has arrived yet")
 }
 
-// pollAnswer is when a caller may ask again for an outcome that is not there.
-const pollAnswer = time.Second
+// answerPollInterval is the Retry-After given to a caller whose request has no
+// known outcome yet.
+const answerPollInterval = time.Second
 
-// record keeps the answer, then settles the claim: whoever reads the settled
-// claim finds the answer.
-func (e *Executor) record(ctx context.Context, claim *controlpb.Claim, answer *api.Answer, err error) {
+// recordOutcome caches the answer and then settles the claim, in this order, so
+// that the answer is available once the claim is seen as settled.
+func (e *Executor) recordOutcome(ctx context.Context, claim *controlpb.Claim, answer *api.Answer, err error) {
 	settle := &controlpb.SettleClaim{Key: claim.Key, Customer: claim.Customer, Attempt: claim.Attempt, Id: claim.Id}
 	settle.Outcome, settle.Code = outcomeOf(answer, err)
 	if settle.Outcome == controlpb.ClaimOutcome_CLAIM_OUTCOME_ANSWERED {
 		settle.Status = uint32(answer.Status)
-		e.keep(claim, answer)
+		e.cacheAnswer(claim, answer)
 		if ctx.Err() != nil {
-			late.Add(1)
+			lateAnswers.Add(1)
 		}
 	}
 	e.settle(settle)
@@ -112,9 +113,9 @@
 	return controlpb.ClaimOutcome_CLAIM_OUTCOME_UNKNOWN, string(f.Code)
 }
 
-func (e *Executor) keep(claim *controlpb.Claim, answer *api.Answer) {
+func (e *Executor) cacheAnswer(claim *controlpb.Claim, answer *api.Answer) {
 	if answer.Streamed {
 		return
 	}
-	e.answers.put(claim.Customer, &kept{key: claim.Key, answer: answer}, e.config.Now())
+	e.answers.put(claim.Customer, &cachedAnswer{key: claim.Key, answer: answer}, e.config.Now())
 }
