--- a/internal/coordination/catalog/catalog.go
+++ b/internal/coordination/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog finds the queue of a call and the customer of a key in the
-// declarations. A Catalog is an immutable index of one revision.
+// Package catalog looks up the queue of a call and the customer of an API key in
+// the declarations. A Catalog is an immutable index of one revision.
 package catalog
 
 import (
@@ -15,12 +15,12 @@
 // Catalog is the index of one revision of the declarations.
 type Catalog struct {
 	revision uint64
-	// byHost holds each host's queues, the longest prefix first.
+	// byHost holds each host's queues, longest path prefix first.
 	byHost map[string][]*controlpb.Queue
 	byKey  map[string]*controlpb.Customer
 }
 
-// New indexes the declarations of a state.
+// New builds the index of a state's declarations.
 func New(state *store.State) *Catalog {
 	c := &Catalog{
 		revision: state.Revision(),
@@ -43,11 +43,11 @@
 	return c
 }
 
-// Revision is that of the declarations.
+// Revision returns the revision of the indexed declarations.
 func (c *Catalog) Revision() uint64 { return c.revision }
 
-// Queue finds the queue with the longest prefix of the path, and what follows
-// the prefix.
+// Queue returns the queue of the host with the longest prefix of the path, and the
+// rest of the path after the prefix.
 func (c *Catalog) Queue(host, path string) (queue *controlpb.Queue, rest string, ok bool) {
 	for _, queue := range c.byHost[host] {
 		if rest, ok := strings.CutPrefix(path, queue.PathPrefix); ok {
@@ -57,23 +57,25 @@
 	return nil, "", false
 }
 
-// Customer finds whose key it is.
+// Customer returns the customer that has the API key.
 func (c *Catalog) Customer(key string) (*controlpb.Customer, bool) {
 	customer, ok := c.byKey[key]
 	return customer, ok
 }
 
-// Cache keeps the index of the newest revision that was asked for.
+// Cache keeps the index of the last revision requested. It is safe for concurrent
+// use.
 type Cache struct {
-	newest atomic.Pointer[Catalog]
+	last atomic.Pointer[Catalog]
 }
 
-// Of gives the index of the state's declarations.
-func (c *Cache) Of(state *store.State) *Catalog {
-	if kept := c.newest.Load(); kept != nil && kept.revision == state.Revision() {
-		return kept
+// Get returns the index of the state's declarations, building it if the cached one
+// is of another revision.
+func (c *Cache) Get(state *store.State) *Catalog {
+	if cached := c.last.Load(); cached != nil && cached.revision == state.Revision() {
+		return cached
 	}
-	made := New(state)
-	c.newest.Store(made)
-	return made
+	built := New(state)
+	c.last.Store(built)
+	return built
 }
--- a/internal/coordination/catalog/catalog_test.go
+++ b/internal/coordination/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-func declared() *store.State {
+func declarationsState() *store.State {
 	items := []*controlpb.Item{{Key: "customer/c", Body: &controlpb.Item_Customer{Customer: &controlpb.Customer{Name: "c", Keys: []string{"k1", "k2"}}}}}
 	for _, queue := range [][2]string{{"h", "/p/"}, {"h", "/p/deep/"}, {"other", "/p/"}} {
 		items = append(items, &controlpb.Item{
@@ -20,8 +20,8 @@
 	return store.Restore(&controlpb.Snapshot{Revision: 4, Items: items})
 }
 
-func TestLongestPrefixOfTheHost(t *testing.T) {
-	index := New(declared())
+func TestQueueMatchesLongestPrefix(t *testing.T) {
+	index := New(declarationsState())
 	for _, c := range []struct{ host, path, queue, rest string }{
 		{"h", "/p/a", "h/p/", "a"},
 		{"h", "/p/deep/a", "h/p/deep/", "a"},
@@ -40,14 +40,15 @@
 	}
 }
 
-// A newer revision takes a key away. The index of the older one must not be used on.
-func TestCacheFollowsTheRevision(t *testing.T) {
+// A newer revision removes a key. The cache must not return the index of the older
+// revision for it.
+func TestCacheFollowsRevision(t *testing.T) {
 	is := is.New(t)
 	cache := &Cache{}
-	customer, ok := cache.Of(declared()).Customer("k2")
+	customer, ok := cache.Get(declarationsState()).Customer("k2")
 	is.True(ok)
 	is.Equal(customer.Name, "c")
 	newer := store.Restore(&controlpb.Snapshot{Revision: 5})
-	_, ok = cache.Of(newer).Customer("k2")
+	_, ok = cache.Get(newer).Customer("k2")
 	is.True(!ok)
 }
--- a/internal/coordination/workflows/workflows.go
+++ b/internal/coordination/workflows/workflows.go
@@ -84,7 +84,7 @@
 	if err := Ready(d.log); err != nil {
 		return nil, refuse(failure.From(err))
 	}
-	index := d.cache.Of(d.log.State())
+	index := d.cache.Get(d.log.State())
 	queue, id, ok := index.Queue(call.Host, call.Path)
 	if !ok {
 		return nil, failure.New(failure.NotFound, "no queue at %s%s", call.Host, call.Path)
