--- a/internal/coordination/recurrence/recurrence_test.go
+++ b/internal/coordination/recurrence/recurrence_test.go
@@ -16,20 +16,20 @@
 		edit(w)
 		return store.Restore(&controlpb.Snapshot{Workflows: []*controlpb.Workflow{w}})
 	}
-	as := func(*controlpb.Workflow) {}
+	unchanged := func(*controlpb.Workflow) {}
 	cases := []struct {
 		name  string
 		state *store.State
 		now   int64
 		want  uint32
 	}{
-		{"before the first", recurring(as), 999, 0},
-		{"the first, not early", recurring(as), 1000, 1},
-		{"between two", recurring(as), 1499, 1},
-		{"two missed ones at once", recurring(as), 1600, 2},
-		{"never more than there are", recurring(as), 99_000, 3},
-		{"all at one time", recurring(func(w *controlpb.Workflow) { w.EveryMs = 0 }), 1000, 3},
-		{"started already", recurring(func(w *controlpb.Workflow) { w.RepetitionsStarted = 2 }), 1600, 0},
+		{"before the first occurrence", recurring(unchanged), 999, 0},
+		{"at the first occurrence", recurring(unchanged), 1000, 1},
+		{"between two occurrences", recurring(unchanged), 1499, 1},
+		{"two occurrences due together", recurring(unchanged), 1600, 2},
+		{"limited to the number of repetitions", recurring(unchanged), 99_000, 3},
+		{"zero interval", recurring(func(w *controlpb.Workflow) { w.EveryMs = 0 }), 1000, 3},
+		{"already started", recurring(func(w *controlpb.Workflow) { w.RepetitionsStarted = 2 }), 1600, 0},
 		{"cancelled", recurring(func(w *controlpb.Workflow) { w.State = controlpb.WorkflowState_WORKFLOW_STATE_CANCELLED }), 1600, 0},
 	}
 	for _, c := range cases {
@@ -44,6 +44,6 @@
 		})
 	}
 	is := is.New(t)
-	is.True(Awaited(recurring(as)))
+	is.True(Awaited(recurring(unchanged)))
 	is.True(!Awaited(recurring(func(w *controlpb.Workflow) { w.RepetitionsStarted = 3 })))
 }
