--- a/internal/coordination/fragmentation/fragmentation.go
+++ b/internal/coordination/fragmentation/fragmentation.go
@@ -1,18 +1,19 @@
-// Package fragmentation measures how much of the idle accelerators the declared
+// Package fragmentation measures the share of idle accelerators that the declared
 // work cannot use.
 //
 // The measure follows Weng et al., "Beware of Fragmentation: Scheduling
 // GPU-Sharing Workloads with Fragmentation Gradient Descent" (USENIX ATC 2023):
-// what a task of the target workload cannot use of the idle accelerators,
-// averaged over the workload. Here the unit is the gang: accelerators on which
-// a whole gang fits under its adjacency are usable, all others are fragments.
+// the idle accelerators that a task of the target workload cannot use, averaged
+// over the workload. Here the unit is the gang instead of the task: accelerators
+// that can hold a complete gang under its adjacency constraint are usable, all
+// others are fragments.
 package fragmentation
 
 import (
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Worker is the idle part of one worker.
+// Worker is one worker and the number of its idle accelerators.
 type Worker struct {
 	DataCentre string
 	Rack       string
@@ -20,7 +21,8 @@
 	Idle       uint32
 }
 
-// Demand is one class of work and how often it is asked for.
+// Demand is the size of the gangs of one work class. Accelerators is per task;
+// Weight is the class's share of the demand, in any unit.
 type Demand struct {
 	Tasks        uint32
 	Accelerators uint32
@@ -28,8 +30,9 @@
 	Weight       float64
 }
 
-// Of gives the part of the idle accelerators, from 0 to 1, that a gang of the
-// demand cannot use, averaged by weight. Nothing idle or no demand gives 0.
+// Of returns the fraction of the idle accelerators, from 0 to 1, that gangs of the
+// demands cannot use, as an average weighted by Weight. It is 0 if no accelerator
+// is idle or no demand needs accelerators.
 func Of(workers []Worker, demands []Demand) float64 {
 	var idle uint64
 	for _, worker := range workers {
@@ -40,7 +43,7 @@
 		if demand.Accelerators == 0 || demand.Tasks == 0 {
 			continue
 		}
-		sum += demand.Weight * (1 - float64(usable(workers, demand))/float64(max(idle, 1)))
+		sum += demand.Weight * (1 - float64(usableAccelerators(workers, demand))/float64(max(idle, 1)))
 		weights += demand.Weight
 	}
 	if idle == 0 || weights == 0 {
@@ -49,16 +52,17 @@
 	return sum / weights
 }
 
-// domain is where the whole of a gang must be.
+// domain is a set of workers within which a gang must be placed as a whole. Empty
+// fields match any worker.
 type domain struct{ dataCentre, rack, worker string }
 
-func usable(workers []Worker, demand Demand) uint64 {
-	fitting := map[domain]uint64{}
+func usableAccelerators(workers []Worker, demand Demand) uint64 {
+	tasksPerDomain := map[domain]uint64{}
 	for _, worker := range workers {
-		fitting[domainOf(worker, demand.Adjacency)] += uint64(worker.Idle / demand.Accelerators)
+		tasksPerDomain[domainOf(worker, demand.Adjacency)] += uint64(worker.Idle / demand.Accelerators)
 	}
 	var gangs uint64
-	for _, tasks := range fitting {
+	for _, tasks := range tasksPerDomain {
 		gangs += tasks / uint64(demand.Tasks)
 	}
 	return gangs * uint64(demand.Tasks) * uint64(demand.Accelerators)
