--- a/internal/coordination/inventory/inventory.go
+++ b/internal/coordination/inventory/inventory.go
@@ -1,5 +1,5 @@
-// Package inventory turns the declared entries into jobs: each entry's work is
-// due once a period, or once a change, and never twice.
+// Package inventory creates jobs for the declared inventory entries. The work of an
+// entry is due once per period and once per change; no occurrence is due twice.
 package inventory
 
 import (
@@ -15,14 +15,14 @@
 	msPerDay    = 24 * 60 * msPerMinute
 )
 
-// maxDue bounds the jobs of one call, and so the size of one log entry; the
-// rest is due at the next call.
-const maxDue = 512
+// maxJobsPerCall limits the jobs of one call of Due, and so the size of one log
+// entry; further jobs are returned by the next call.
+const maxJobsPerCall = 512
 
-// never is a next due time that no clock reaches.
+// never is the end, in ms, of a period that does not end; no clock reaches it.
 const never = int64(math.MaxInt64)
 
-// State is what the decision reads of the control state.
+// State is the part of the control state that decides which entries are due.
 type State interface {
 	Revision() uint64
 	Items() []*controlpb.Item
@@ -31,31 +31,36 @@
 	WasDue(entry string, period int64, change string) bool
 }
 
-// Planner finds the entries whose work is due. It walks the inventory only when
-// the declarations have changed or a period has ended, so that an idle leader
-// spends nothing on it. It is not safe for use by several goroutines.
+// Planner finds the entries whose work is due. If the last scan found none, it
+// scans the inventory again only after the declarations have changed or a period
+// has ended, so that it costs an idle leader next to nothing. It is not safe for
+// concurrent use.
 type Planner struct {
-	walked   bool
+	// noneDue is true if the last scan found no entry due; revision is that of the
+	// declarations it read.
+	noneDue  bool
 	revision uint64
-	// nextMs is when the next period of any entry begins.
-	nextMs int64
+	// nextPeriodMs is the Unix time in ms at which the next period of any entry
+	// begins.
+	nextPeriodMs int64
 }
 
-// Due lists jobs whose occurrence has come and that the state does not know of.
-// Until they are submitted, each call lists them again.
+// Due returns the jobs for entries that are due at now and for which the state has
+// neither a job nor an occurrence, at most maxJobsPerCall. Each call returns them
+// again until they are submitted.
 func (p *Planner) Due(state State, now time.Time) []*controlpb.Job {
 	ms := now.UnixMilli()
-	if p.walked && p.revision == state.Revision() && ms < p.nextMs {
+	if p.noneDue && p.revision == state.Revision() && ms < p.nextPeriodMs {
 		return nil
 	}
-	due, nextMs := walk(state, now)
-	p.walked = len(due) == 0
+	due, nextMs := scan(state, now)
+	p.noneDue = len(due) == 0
 	p.revision = state.Revision()
-	p.nextMs = nextMs
+	p.nextPeriodMs = nextMs
 	return due
 }
 
-func walk(state State, now time.Time) (due []*controlpb.Job, nextMs int64) {
+func scan(state State, now time.Time) (due []*controlpb.Job, nextMs int64) {
 	nextMs = never
 	for _, item := range state.Items() {
 		entry := item.GetEntry()
@@ -64,15 +69,16 @@
 		}
 		period, endMs := periodAt(entry, now)
 		nextMs = min(nextMs, endMs)
-		if len(due) < maxDue && !state.WasDue(entry.Name, period, entry.Change) {
+		if len(due) < maxJobsPerCall && !state.WasDue(entry.Name, period, entry.Change) {
 			due = appendJob(due, state, entry, period, now)
 		}
 	}
 	return due, nextMs
 }
 
-// periodAt numbers the period that now lies in and gives its end. An entry
-// without a period has one that never ends.
+// periodAt returns the number of the entry's period that contains now, and the end
+// of that period as Unix time in ms. An entry without a period has number 0 and no
+// end.
 func periodAt(entry *controlpb.Entry, now time.Time) (period, endMs int64) {
 	if entry.PeriodMs == 0 {
 		return 0, never
@@ -97,7 +103,8 @@
 	return append(due, job)
 }
 
-// jobID is the entry and the occurrence, so two leaders make the same job.
+// jobID is derived from the entry and the occurrence only, so that two leaders
+// create the same job.
 func jobID(entry *controlpb.Entry, period int64) string {
 	return entry.Name + "@" + occurrence(entry, period)
 }
@@ -109,7 +116,7 @@
 	return fmt.Sprintf("p%d.%s", period, entry.Change)
 }
 
-// NewJob makes a job of a class, submitted now.
+// NewJob returns a job of a work class that is submitted at now.
 func NewJob(id, customer string, class *controlpb.WorkClass, now time.Time) *controlpb.Job {
 	return &controlpb.Job{
 		Id:             id,
@@ -130,22 +137,23 @@
 	}
 }
 
-// deadline is the nearer of the relative and the daily deadline; 0 for none.
+// deadline returns the earlier of the class's relative deadline and its next daily
+// deadline as Unix time in ms, or 0 if the class has neither.
 func deadline(class *controlpb.WorkClass, now time.Time) int64 {
 	ms := now.UnixMilli()
-	var nearest int64
+	var earliest int64
 	if class.DeadlineMs > 0 {
-		nearest = ms + class.DeadlineMs
+		earliest = ms + class.DeadlineMs
 	}
 	if class.DailyDeadline == 0 {
-		return nearest
+		return earliest
 	}
-	at := ms - ms%msPerDay + int64(class.DailyDeadline-1)*msPerMinute
-	if at <= ms {
-		at += msPerDay
+	daily := ms - ms%msPerDay + int64(class.DailyDeadline-1)*msPerMinute
+	if daily <= ms {
+		daily += msPerDay
 	}
-	if nearest == 0 {
-		return at
+	if earliest == 0 {
+		return daily
 	}
-	return min(nearest, at)
+	return min(earliest, daily)
 }
