--- a/internal/coordination/workflows/check.go
+++ b/internal/coordination/workflows/check.go
@@ -5,8 +5,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Bounds of one workflow: the log carries it in one entry and a state holds a
-// job for each task.
+// Limits of one workflow, which is stored in a single log entry and for which the
+// state holds a job per task. maxSpecification is in bytes.
 const (
 	maxSpecification = 4000
 	maxSteps         = 64
@@ -14,19 +14,19 @@
 	maxRepetitions   = 10000
 )
 
-// Check refuses a workflow that can't be run as it is meant; nothing is stored.
+// Check validates a workflow before it is proposed. It fails with bad_request.
 func Check(w *controlpb.Workflow) error {
 	switch {
 	case len(w.Specification) > maxSpecification:
-		return bad("the specification has over %d bytes", maxSpecification)
+		return badRequest("the specification is larger than %d bytes", maxSpecification)
 	case len(w.Steps) == 0:
-		return bad("there is no step")
+		return badRequest("the workflow has no steps")
 	case len(w.Steps) > maxSteps:
-		return bad("there are over %d steps", maxSteps)
+		return badRequest("the workflow has more than %d steps", maxSteps)
 	case w.Repetitions > maxRepetitions:
-		return bad("over %d repetitions", maxRepetitions)
+		return badRequest("the workflow has more than %d repetitions", maxRepetitions)
 	case w.Repetitions > 0 && (w.FirstDueMs <= 0 || w.EveryMs < 0):
-		return bad("repetitions without a time")
+		return badRequest("repetitions need a first due time and a non-negative interval")
 	}
 	tasks := uint32(0)
 	for number, step := range w.Steps {
@@ -34,7 +34,7 @@
 			return err
 		}
 		if tasks += min(step.Count, maxTasks); tasks > maxTasks {
-			return bad("over %d tasks", maxTasks)
+			return badRequest("the workflow has more than %d tasks", maxTasks)
 		}
 	}
 	return nil
@@ -42,14 +42,16 @@
 
 func checkStep(number int, step *controlpb.Step) error {
 	if step.Count == 0 {
-		return bad("step %d has no task", number)
+		return badRequest("step %d has no tasks", number)
 	}
 	for _, earlier := range step.After {
 		if int(earlier) >= number {
-			return bad("step %d waits for step %d, which is not before it", number, earlier)
+			return badRequest("step %d depends on step %d, which does not precede it", number, earlier)
 		}
 	}
 	return nil
 }
 
-func bad(format string, args ...any) error { return failure.New(failure.BadRequest, format, args...) }
+func badRequest(format string, args ...any) error {
+	return failure.New(failure.BadRequest, format, args...)
+}
--- a/internal/coordination/workflows/workflows.go
+++ b/internal/coordination/workflows/workflows.go
@@ -1,5 +1,5 @@
-// Package workflows takes callers' workflows into the log and answers what
-// became of them.
+// Package workflows commits callers' workflows to the replicated log, cancels
+// them and reports their states.
 package workflows
 
 import (
@@ -19,13 +19,14 @@
 )
 
 const (
-	// retryAfter is what a refused caller is told to wait: an election is over
+	// refusalRetryAfter is the Retry-After of a refusal; an election completes
 	// within it.
-	retryAfter = time.Second
-	// proposePatience bounds a call whose caller named no deadline.
-	proposePatience = 3 * time.Second
-	// answerMargin is taken off the caller's deadline, so that the answer arrives
-	// before the caller has gone.
+	refusalRetryAfter = time.Second
+	// maxCallTimeout limits every call; it is the timeout of a call whose caller gave
+	// none.
+	maxCallTimeout = 3 * time.Second
+	// answerMargin is subtracted from the caller's timeout, so that the answer
+	// arrives before the caller stops waiting. It is also the shortest timeout.
 	answerMargin = 150 * time.Millisecond
 )
 
@@ -33,40 +34,41 @@
 	accepted  = expvar.NewInt("workflows_accepted")
 	refused   = expvar.NewInt("workflows_refused")
 	cancelled = expvar.NewInt("workflows_cancelled")
-	// acceptTook is from a submission's arrival to its commit.
-	acceptTook = latency.New("workflows_accept")
+	// acceptLatency is the time from a submission's arrival to its commit.
+	acceptLatency = latency.New("workflows_accept")
 )
 
-// Call is what every call of a caller carries.
+// Call holds what is common to all calls of callers.
 type Call struct {
 	Host string
 	Path string
 	Key  string
-	// Patience is how long the caller waits; 0 where it did not say.
+	// Patience is the caller's timeout, or 0 if it gave none.
 	Patience time.Duration
 }
 
-// Desk serves the callers of one instance.
+// Desk serves callers' calls on one instance.
 type Desk struct {
 	log    control.Log
 	cache  catalog.Cache
 	logger *logrus.Logger
 }
 
-// NewDesk makes a desk.
+// NewDesk returns a Desk that proposes to log.
 func NewDesk(log control.Log, logger *logrus.Logger) *Desk { return &Desk{log: log, logger: logger} }
 
-// Target is a call's queue and customer; ID is empty for the queue itself.
+// Target is the queue, customer and workflow of a call. ID is empty for a call on
+// the queue itself, Customer for an anonymous queue.
 type Target struct {
 	Queue    *controlpb.Queue
 	Customer string
 	ID       string
-	// Revision of the declarations that decided.
+	// Revision of the declarations by which the call was resolved.
 	Revision uint64
 }
 
-// Ready fails while this instance could only refuse callers: before the first
-// declarations, and while it may not know the newest.
+// Ready fails while this instance would refuse all calls: with not_ready before
+// the first declarations, and with stale_state while its state may be outdated.
 func Ready(log control.Log) error {
 	if err := log.Fresh(); err != nil {
 		return err
@@ -77,17 +79,17 @@
 	return nil
 }
 
-// Resolve finds the call's queue and checks its key. It fails with not_ready
-// before the first declarations and stale_state while this instance may not know
-// the newest.
+// Resolve finds the queue of a call and authenticates its key. It fails with
+// not_ready or stale_state as Ready does, with not_found if no queue matches, and
+// with unauthorized if no customer has the key.
 func (d *Desk) Resolve(call *Call) (*Target, error) {
 	if err := Ready(d.log); err != nil {
-		return nil, refuse(failure.From(err))
+		return nil, withRetryAfter(failure.From(err))
 	}
 	index := d.cache.Get(d.log.State())
 	queue, id, ok := index.Queue(call.Host, call.Path)
 	if !ok {
-		return nil, failure.New(failure.NotFound, "no queue at %s%s", call.Host, call.Path)
+		return nil, failure.New(failure.NotFound, "no queue is declared at %s%s", call.Host, call.Path)
 	}
 	target := &Target{Queue: queue, ID: id, Revision: index.Revision()}
 	if queue.Anonymous {
@@ -101,9 +103,9 @@
 	return target, nil
 }
 
-// Refused logs a call that was refused before its workflow was proposed, with the id at
-// the end of its path: without the line a caller's refusal could not be told from a
-// call that never came.
+// Refused logs and counts a call that was refused before its workflow was proposed,
+// with the workflow id from the end of its path. Without this log line a refused
+// call could not be distinguished from one that never arrived.
 func (d *Desk) Refused(call *Call, err error) {
 	f := failure.From(err)
 	refused.Add(1)
@@ -113,21 +115,21 @@
 	}).Warn("call refused")
 }
 
-func refuse(f *failure.Error) *failure.Error {
-	f.RetryAfter = retryAfter
+func withRetryAfter(f *failure.Error) *failure.Error {
+	f.RetryAfter = refusalRetryAfter
 	return f
 }
 
-func (c *Call) bound(ctx context.Context) (context.Context, context.CancelFunc) {
-	patience := proposePatience
+func (c *Call) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	timeout := maxCallTimeout
 	if c.Patience > 0 {
-		patience = min(patience, max(c.Patience-answerMargin, answerMargin))
+		timeout = min(timeout, max(c.Patience-answerMargin, answerMargin))
 	}
-	return context.WithTimeout(ctx, patience)
+	return context.WithTimeout(ctx, timeout)
 }
 
-// Submit commits a workflow. A failure says whether it surely was not taken:
-// with an outcome that is unknown the caller sends it again under its id.
+// Submit commits a workflow. The error says whether the workflow was certainly not
+// accepted; if the outcome is unknown, the caller can resend it under the same id.
 func (d *Desk) Submit(ctx context.Context, call *Call, target *Target, workflow *controlpb.Workflow) error {
 	if err := Check(workflow); err != nil {
 		d.Refused(call, err)
@@ -142,7 +144,7 @@
 	workflow.SlackThousandths = target.Queue.SlackThousandths
 	workflow.TargetLatencyMs = target.Queue.TargetLatencyMs
 	workflow.SharedEnds = true
-	ctx, cancel := call.bound(ctx)
+	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
 	began := time.Now()
 	result, err := d.propose(ctx, &controlpb.Command{Op: &controlpb.Command_SubmitWorkflow{SubmitWorkflow: &controlpb.SubmitWorkflow{Workflow: workflow}}})
@@ -151,17 +153,17 @@
 		refused.Add(1)
 		f := failure.From(err)
 		entry.WithFields(logrus.Fields{"code": f.Code, "not_run": f.NotRun, "detail": f.Error()}).Warn("workflow not accepted")
-		return refuse(f)
+		return withRetryAfter(f)
 	}
 	accepted.Add(1)
-	acceptTook.Record(time.Since(began))
+	acceptLatency.Record(time.Since(began))
 	entry.WithField("index", result.Index).Info("workflow accepted")
 	return nil
 }
 
-// Cancel commits the end of a workflow.
+// Cancel commits the cancellation of a workflow.
 func (d *Desk) Cancel(ctx context.Context, call *Call, target *Target) error {
-	ctx, cancel := call.bound(ctx)
+	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
 	result, err := d.propose(ctx, &controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: target.ID, Queue: target.Queue.Name}}})
 	entry := d.logger.WithFields(logrus.Fields{"workflow": target.ID, "queue": target.Queue.Name})
@@ -185,43 +187,44 @@
 	return result, nil
 }
 
-// Status gives the state of a workflow. One that this instance does not know may
-// have been accepted a moment ago elsewhere, so the log is asked before it is
-// said to be unknown.
+// Status returns the state of a workflow. A workflow that is not in the local
+// state may just have been accepted by another instance, so the state is first
+// brought up to date with the log. It fails with answer_gone if there is no such
+// workflow.
 func (d *Desk) Status(ctx context.Context, call *Call, target *Target) (controlpb.WorkflowState, error) {
 	began := time.Now()
-	if w, ok := find(d.log.State(), target); ok {
+	if w, ok := findWorkflow(d.log.State(), target); ok {
 		return w.State, nil
 	}
-	ctx, cancel := call.bound(ctx)
+	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
 	err := control.Read(ctx, d.log)
-	decided := d.log.State()
+	state := d.log.State()
 	if err != nil {
-		return 0, d.notAnswered(target, decided, began, refuse(failure.From(err)))
+		return 0, d.statusError(target, state, began, withRetryAfter(failure.From(err)))
 	}
-	if w, ok := find(decided, target); ok {
+	if w, ok := findWorkflow(state, target); ok {
 		return w.State, nil
 	}
-	return 0, d.notAnswered(target, decided, began, failure.New(failure.AnswerGone, "no workflow %s", target.ID))
+	return 0, d.statusError(target, state, began, failure.New(failure.AnswerGone, "no workflow %s", target.ID))
 }
 
-// notAnswered logs and counts a question about a state that failed: without the line
-// it could not be told from a question that never came.
-func (d *Desk) notAnswered(target *Target, decided *store.State, began time.Time, f *failure.Error) *failure.Error {
+// statusError logs and counts a failed status call and returns its error. Without
+// this log line the call could not be distinguished from one that never arrived.
+func (d *Desk) statusError(target *Target, state *store.State, began time.Time, f *failure.Error) *failure.Error {
 	refused.Add(1)
 	d.logger.WithFields(logrus.Fields{
 		"workflow": target.ID, "queue": target.Queue.Name, "customer": target.Customer,
 		"code": f.Code, "not_run": f.NotRun, "detail": f.Error(),
-		"index": decided.Index(), "took_ms": time.Since(began).Milliseconds(),
+		"index": state.Index(), "took_ms": time.Since(began).Milliseconds(),
 	}).Warn("state not answered")
 	return f
 }
 
-func find(state *store.State, target *Target) (*controlpb.Workflow, bool) {
+func findWorkflow(state *store.State, target *Target) (*controlpb.Workflow, bool) {
 	w, ok := state.Workflow(target.ID)
 	return w, ok && w.Queue == target.Queue.Name
 }
 
-// Pending counts the queue's workflows of which no task has started.
+// Pending returns the number of the queue's workflows of which no task has started.
 func (d *Desk) Pending(target *Target) int { return d.log.State().Pending(target.Queue.Name) }
