--- a/internal/coordination/claims/executor_test.go
+++ b/internal/coordination/claims/executor_test.go
@@ -108,7 +108,7 @@
 		key    string
 		notRun failure.NotRun
 	}{
-		{"key made here", "", failure.NotRunTrue},
+		{"generated key", "", failure.NotRunTrue},
 		{"caller's key", "order-7", failure.NotRunUnknown},
 	}
 	for _, c := range cases {
@@ -193,11 +193,11 @@
 		notRun failure.NotRun
 		runs   int
 	}{
-		{"cut answer", nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "cut"), failure.TruncatedAnswer, failure.NotRunFalse, 0},
-		{"cut while streaming", &api.Answer{Status: 200, Streamed: true, Cut: errLost}, nil, failure.TruncatedAnswer, failure.NotRunFalse, 0},
-		{"streamed whole", &api.Answer{Status: 200, Streamed: true}, nil, failure.AnswerGone, failure.NotRunFalse, 0},
+		{"truncated answer", nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "cut"), failure.TruncatedAnswer, failure.NotRunFalse, 0},
+		{"truncated stream", &api.Answer{Status: 200, Streamed: true, Cut: errLost}, nil, failure.TruncatedAnswer, failure.NotRunFalse, 0},
+		{"complete stream", &api.Answer{Status: 200, Streamed: true}, nil, failure.AnswerGone, failure.NotRunFalse, 0},
 		{"connection lost", nil, errLost, failure.OutcomeUnknown, failure.NotRunUnknown, 0},
-		{"refused as not run", nil, failure.New(failure.Overloaded, "full"), "", "", 1},
+		{"refused before it ran", nil, failure.New(failure.Overloaded, "full"), "", "", 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/coordination/claims/fakes_test.go
+++ b/internal/coordination/claims/fakes_test.go
@@ -133,7 +133,7 @@
 // Call implements Peers.
 func (c *cluster) Call(_ context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error) {
 	if c.dead[to] {
-		return nil, failure.New(failure.Unreachable, "%s is dead", to)
+		return nil, failure.New(failure.Unreachable, "%s is unreachable", to)
 	}
 	return c.executors[to].ServeFetch(call.GetFetch())
 }
