--- a/internal/coordination/consensus/checker_test.go
+++ b/internal/coordination/consensus/checker_test.go
@@ -96,7 +96,7 @@
 		c.fail("election safety: %s and %s lead term %d", c.leaders[n.term], r.identity, n.term)
 	}
 	age := n.quorumAge()
-	if n.ticksSinceQuorum() > max(n.config.ElectionTicks, n.config.MostElectionTicks) {
+	if n.ticksSinceQuorum() > max(n.config.ElectionTicks, n.config.MaxElectionTicks) {
 		c.fail("%s leads without a quorum for %d ticks", r.identity, n.ticksSinceQuorum())
 	}
 	if tick := len(r.history.acknowledgedTermAt) - 1 - age; tick >= 0 && r.history.acknowledgedTermAt[tick] > n.term {
--- a/internal/coordination/consensus/consensus_test.go
+++ b/internal/coordination/consensus/consensus_test.go
@@ -82,7 +82,7 @@
 // With one safeguard disabled, the checker must find a schedule that violates an
 // invariant; otherwise it would not detect a defect in that safeguard either.
 // TestScenarios covers the safeguards for which random schedules take too long.
-func TestPlantedFaults(t *testing.T) {
+func TestInjectedFaultsAreDetected(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults injectedFaults
--- a/internal/coordination/consensus/electiontimeout.go
+++ b/internal/coordination/consensus/electiontimeout.go
@@ -28,7 +28,7 @@
 }
 
 func newElectionTimeout(config Config) electionTimeout {
-	return electionTimeout{minTicks: config.ElectionTicks, maxTicks: max(config.MostElectionTicks, config.ElectionTicks)}
+	return electionTimeout{minTicks: config.ElectionTicks, maxTicks: max(config.MaxElectionTicks, config.ElectionTicks)}
 }
 
 // ticks returns the current minimum election timeout: twice the longest interval
@@ -61,7 +61,7 @@
 	}
 }
 
-// StoodStill reports that the driver was paused for a number of ticks. The pause is
+// ObservePause reports that the driver was paused for a number of ticks. The pause is
 // observed like an interval between messages, since the other replicas may be paused
 // for as long.
-func (n *Node) StoodStill(ticks int) { n.electionTimeout.observe(ticks) }
+func (n *Node) ObservePause(ticks int) { n.electionTimeout.observe(ticks) }
--- a/internal/coordination/consensus/electiontimeout_test.go
+++ b/internal/coordination/consensus/electiontimeout_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-var adaptiveConfig = Config{ElectionTicks: 10, MostElectionTicks: 40, HeartbeatTicks: 3, MaxAppendBytes: 1 << 20, MaxInflight: 32}
+var adaptiveConfig = Config{ElectionTicks: 10, MaxElectionTicks: 40, HeartbeatTicks: 3, MaxAppendBytes: 1 << 20, MaxInflight: 32}
 
 // pauseReplicas pauses one replica after another, for up to maxPause ticks each, and
 // then makes up for the missed ticks as the driver does: all of them on a leader, at
@@ -27,7 +27,7 @@
 		}
 		r.paused = false
 		sim.drain()
-		r.node.StoodStill(length)
+		r.node.ObservePause(length)
 		missed := length
 		if r.node.role != Leader {
 			missed = min(length, sim.config.HeartbeatTicks)
@@ -50,7 +50,7 @@
 // On a machine that pauses processes for longer than the minimum election timeout, a
 // fixed timeout deposes leaders again and again before they make progress. The adaptive
 // timeout must lose at most a tenth as many leaders.
-func TestLeaderLivesWhereReplicasStandStill(t *testing.T) {
+func TestLeaderSurvivesProcessPauses(t *testing.T) {
 	leadersLost := func(config Config) (terms uint64) {
 		for seed := range uint64(20) {
 			sim := newSimulation(seed, 3, config, injectedFaults{})
@@ -66,7 +66,7 @@
 		return terms
 	}
 	fixed := adaptiveConfig
-	fixed.MostElectionTicks = 0
+	fixed.MaxElectionTicks = 0
 	withFixed, withAdaptive := leadersLost(fixed), leadersLost(adaptiveConfig)
 	t.Logf("leaders lost in 20 x 1500 ticks: %d with a fixed timeout, %d with an adaptive one", withFixed, withAdaptive)
 	is.New(t).True(withAdaptive*10 <= withFixed)
@@ -98,7 +98,7 @@
 
 // Without pauses, a failed leader must be replaced within the minimum election timeout
 // and its jitter.
-func TestCalmLeaderIsReplacedSoon(t *testing.T) {
+func TestFailedLeaderIsReplacedAfterShortestTimeout(t *testing.T) {
 	is := is.New(t)
 	sim := newSimulation(1, 3, adaptiveConfig, injectedFaults{})
 	for range 100 {
--- a/internal/coordination/consensus/node.go
+++ b/internal/coordination/consensus/node.go
@@ -25,10 +25,10 @@
 	// ElectionTicks is the minimum election timeout in ticks. Each timeout is
 	// randomized, with Rand, between this value and twice this value.
 	ElectionTicks int
-	// MostElectionTicks is the upper limit, in ticks, of the minimum election timeout
+	// MaxElectionTicks is the upper limit, in ticks, of the minimum election timeout
 	// when it adapts to the observed intervals between messages and to process pauses;
 	// 0 disables the adaptation.
-	MostElectionTicks int
+	MaxElectionTicks int
 	// HeartbeatTicks is the interval between a leader's heartbeats, in ticks.
 	HeartbeatTicks int
 	// MaxAppendBytes limits the encoded size of the entries in one append message. A
--- a/internal/coordination/consensus/scenario_test.go
+++ b/internal/coordination/consensus/scenario_test.go
@@ -331,7 +331,7 @@
 
 // Without pre-vote, a removed replica increments its term; voters that have a live
 // leader must still ignore its vote requests.
-func TestStickinessAlone(t *testing.T) {
+func TestStickinessWithoutPreVote(t *testing.T) {
 	sim := newSimulation(1, 3, typicalConfig, injectedFaults{safeguards: safeguards{preVote: true}})
 	removedReplica(sim)
 	is.New(t).Equal(sim.violation, "")
--- a/internal/coordination/consensus/schedule_test.go
+++ b/internal/coordination/consensus/schedule_test.go
@@ -55,7 +55,7 @@
 func runSchedule(seed uint64, faults injectedFaults) (coverage, string) {
 	config := configs[seed/2%2]
 	if faults.adaptiveTimeout {
-		config.MostElectionTicks = maxTimeoutGrowth * config.ElectionTicks
+		config.MaxElectionTicks = maxTimeoutGrowth * config.ElectionTicks
 	}
 	sim := newSimulation(seed, 3+2*int(seed%2), config, faults)
 	sim.start(sim.add()) // a spare, not yet a member
@@ -193,7 +193,7 @@
 			sim.start(r)
 		}
 	}
-	limit := recoveryElections * max(sim.config.ElectionTicks, sim.config.MostElectionTicks)
+	limit := recoveryElections * max(sim.config.ElectionTicks, sim.config.MaxElectionTicks)
 	target := entryID{}
 	for range limit {
 		sim.round()
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -80,7 +80,7 @@
 		MaxInflight:    maxInflight,
 		Rand:           c.replica.config.Rand,
 
-		MostElectionTicks: mostElectionTicks,
+		MaxElectionTicks: maxElectionTicks,
 	}
 }
 
@@ -129,7 +129,7 @@
 	c.heldUp(holdUps{turn: now.Sub(c.lastTick)})
 	missed := int(now.Sub(c.lastTick) / c.tick)
 	c.lastTick = c.lastTick.Add(time.Duration(missed) * c.tick)
-	c.node.StoodStill(missed)
+	c.node.ObservePause(missed)
 	most := heartbeatTicks
 	if c.node.Status().Role == consensus.Leader {
 		most = maxMissedTicks
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -27,8 +27,8 @@
 const (
 	// electionTicks divides the shortest election timeout.
 	electionTicks = 10
-	// mostElectionTicks bounds it where it follows silences and standstills.
-	mostElectionTicks = 4 * electionTicks
+	// maxElectionTicks bounds it where it follows silences and standstills.
+	maxElectionTicks = 4 * electionTicks
 	// heartbeatTicks lets three heartbeats be lost before an election.
 	heartbeatTicks = 3
 	// maxAppendBytes and maxInflight bound what is on its way to one member.
