--- a/internal/coordination/consensus/electiontimeout.go
+++ b/internal/coordination/consensus/electiontimeout.go
@@ -19,7 +19,7 @@
 	minTicks, maxTicks int
 	// maxInterval is the longest interval, in ticks, observed in the current and the
 	// previous window; windowStart is the tick at which the current one began.
-	maxInterval recent.Largest[int]
+	maxInterval recent.Max[int]
 	windowStart uint64
 	// lastReceived is the tick of the last message received from leader in term.
 	leader       string
@@ -40,7 +40,7 @@
 // tick starts a new observation window when the current one is over.
 func (e *electionTimeout) tick(now uint64) {
 	if now-e.windowStart >= uint64(observationWindow*e.minTicks) {
-		e.maxInterval.Turn()
+		e.maxInterval.Rotate()
 		e.windowStart = now
 	}
 }
@@ -57,7 +57,7 @@
 // observe records an interval, in ticks, after which a replica was still alive.
 func (e *electionTimeout) observe(interval int) {
 	if interval <= e.maxTicks {
-		e.maxInterval.See(interval)
+		e.maxInterval.Observe(interval)
 	}
 }
 
--- a/internal/coordination/recent/recent.go
+++ b/internal/coordination/recent/recent.go
@@ -5,19 +5,19 @@
 
 import "cmp"
 
-// Largest is the maximum of the current and the previous window. The zero value
+// Max is the maximum of the current and the previous window. The zero value
 // contains no observations and reports the zero value of T, so values below it have no
 // effect. The owner decides when a window ends. It is not safe for concurrent use.
-type Largest[T cmp.Ordered] struct{ previous, current T }
+type Max[T cmp.Ordered] struct{ previous, current T }
 
-// Turn starts a new window: the current window becomes the previous one.
-func (l *Largest[T]) Turn() {
+// Rotate starts a new window: the current window becomes the previous one.
+func (m *Max[T]) Rotate() {
 	var zero T
-	l.previous, l.current = l.current, zero
+	m.previous, m.current = m.current, zero
 }
 
-// See adds a value to the current window.
-func (l *Largest[T]) See(value T) { l.current = max(l.current, value) }
+// Observe adds a value to the current window.
+func (m *Max[T]) Observe(value T) { m.current = max(m.current, value) }
 
 // Value returns the largest value of both windows.
-func (l *Largest[T]) Value() T { return max(l.previous, l.current) }
+func (m *Max[T]) Value() T { return max(m.previous, m.current) }
--- a/internal/coordination/replica/strain.go
+++ b/internal/coordination/replica/strain.go
@@ -14,7 +14,7 @@
 type strain struct {
 	// began is when the newer of two windows did.
 	began      time.Time
-	turn, sync recent.Largest[time.Duration]
+	turn, sync recent.Max[time.Duration]
 }
 
 // holdUps are those that are seen at one time.
@@ -29,12 +29,12 @@
 
 func (s *strain) note(now time.Time, window time.Duration, seen holdUps) {
 	if now.Sub(s.began) >= window {
-		s.turn.Turn()
-		s.sync.Turn()
+		s.turn.Rotate()
+		s.sync.Rotate()
 		s.began = now
 	}
-	s.turn.See(seen.turn)
-	s.sync.See(seen.sync)
+	s.turn.Observe(seen.turn)
+	s.sync.Observe(seen.sync)
 }
 
 // fields are the longest hold-ups of the newest one to two windows, and for how long the
