--- a/internal/coordination/steady/steady.go
+++ b/internal/coordination/boottime/boottime.go
@@ -1,8 +1,8 @@
-// Package steady provides a monotonic clock that includes the time for which the
+// Package boottime provides a monotonic clock that includes the time for which the
 // machine was suspended, which the monotonic clock of package time leaves out. Without
 // it, a leader that resumes after a suspension would consider its state as fresh as
 // before, and would send commands that the current leader does not know of.
-package steady
+package boottime
 
 import (
 	"sync/atomic"
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Moment is a point in time, comparable only within one process.
-type Moment struct {
+// Time is a point in time, comparable only within one process.
+type Time struct {
 	monotonic time.Time
 	suspended time.Duration
 }
@@ -70,20 +70,20 @@
 }
 
 // Now returns the current time.
-func Now() Moment { return Moment{monotonic: time.Now(), suspended: suspended()} }
+func Now() Time { return Time{monotonic: time.Now(), suspended: suspended()} }
 
-// Age returns the time elapsed since the moment.
-func (m Moment) Age() time.Duration { return Now().Sub(m) }
+// Age returns the time elapsed since t.
+func (t Time) Age() time.Duration { return Now().Sub(t) }
 
-// Sub returns the time elapsed from an earlier moment to this one.
-func (m Moment) Sub(earlier Moment) time.Duration {
-	return m.monotonic.Sub(earlier.monotonic) + m.suspended - earlier.suspended
+// Sub returns the time elapsed from an earlier time to t.
+func (t Time) Sub(earlier Time) time.Duration {
+	return t.monotonic.Sub(earlier.monotonic) + t.suspended - earlier.suspended
 }
 
-// Add returns the moment advanced by a duration.
-func (m Moment) Add(duration time.Duration) Moment {
-	return Moment{monotonic: m.monotonic.Add(duration), suspended: m.suspended}
+// Add returns t advanced by a duration.
+func (t Time) Add(duration time.Duration) Time {
+	return Time{monotonic: t.monotonic.Add(duration), suspended: t.suspended}
 }
 
-// After reports whether the moment is later than another.
-func (m Moment) After(other Moment) bool { return m.Sub(other) > 0 }
+// After reports whether t is later than other.
+func (t Time) After(other Time) bool { return t.Sub(other) > 0 }
--- a/internal/coordination/steady/steady_test.go
+++ b/internal/coordination/boottime/boottime_test.go
@@ -1,4 +1,4 @@
-package steady
+package boottime
 
 import (
 	"testing"
@@ -29,7 +29,7 @@
 // A pause of the process between its readings of the two clocks must not be taken for a
 // suspension, and reading errors must not change the suspended time: an age that
 // shrinks by a millisecond can cost a tick, one that grows can add one.
-func TestSuspendedTimeStandsStillWhileAwake(t *testing.T) {
+func TestSuspendedTimeIsConstantWhileAwake(t *testing.T) {
 	is := is.New(t)
 	first := readSuspended()
 	for range 10_000 {
--- a/internal/coordination/replica/confirm.go
+++ b/internal/coordination/replica/confirm.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
@@ -52,7 +52,7 @@
 }
 
 // confirm moves the confirmation forward, never back.
-func (r *Replica) confirm(at steady.Moment) {
+func (r *Replica) confirm(at boottime.Time) {
 	for {
 		earlier := r.confirmed.Load()
 		if earlier != nil && !at.After(*earlier) {
@@ -99,7 +99,7 @@
 // confirmFrom asks the leader and waits until what it had committed is applied
 // here. Only this process's clock is read: the age counts from the sending.
 func (r *Replica) confirmFrom(ctx context.Context, leader string, fresh bool) error {
-	sent := steady.Now()
+	sent := boottime.Now()
 	call := &peerpb.Call{Body: &peerpb.Call_Confirm{Confirm: &peerpb.Confirm{Read: fresh}}}
 	reply, err := r.peers.Call(ctx, leader, call)
 	if err != nil {
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -6,9 +6,9 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
@@ -37,7 +37,7 @@
 	state    *store.State
 	hard     *consensuspb.HardState
 	tick     time.Duration
-	lastTick steady.Moment
+	lastTick boottime.Time
 	// pending are the proposals on their way, by index.
 	pending map[uint64]*proposal
 	// reads wait for their round, then for its index.
@@ -59,7 +59,7 @@
 		state:    recovered.state,
 		hard:     recovered.consensus.Hard,
 		tick:     r.config.ElectionTimeout / electionTicks,
-		lastTick: steady.Now(),
+		lastTick: boottime.Now(),
 		pending:  map[uint64]*proposal{},
 		links:    newLinks(),
 	}
@@ -109,7 +109,7 @@
 			request(c)
 		case <-c.nextTurn():
 			c.takeWaiting()
-			c.passTime(steady.Now())
+			c.passTime(boottime.Now())
 		}
 		c.takeWaiting()
 		if err := c.carryOutAll(working); err != nil {
@@ -125,7 +125,7 @@
 // long standstill was this process's own and says nothing of the leader, whose
 // heartbeats may still be on their way in: counted in full, it would start an
 // election after every pause of a busy machine.
-func (c *core) passTime(now steady.Moment) {
+func (c *core) passTime(now boottime.Time) {
 	c.heldUp(holdUps{turn: now.Sub(c.lastTick)})
 	missed := int(now.Sub(c.lastTick) / c.tick)
 	c.lastTick = c.lastTick.Add(time.Duration(missed) * c.tick)
--- a/internal/coordination/replica/fulldisk.go
+++ b/internal/coordination/replica/fulldisk.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
@@ -77,7 +77,7 @@
 		c.held = nil
 		c.replica.config.Logger.WithField("index", c.state.Index()).Info("there is room again: this replica is back in the log")
 	}
-	c.passTime(steady.Now())
+	c.passTime(boottime.Now())
 	return nil
 }
 
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -13,10 +13,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
 	"pinewinch.example/pinewinch/internal/coordination/feed"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
@@ -98,7 +98,7 @@
 	leaderChanged control.Signal
 	// confirmed is a time of this process's clock at which the published state
 	// held everything committed.
-	confirmed atomic.Pointer[steady.Moment]
+	confirmed atomic.Pointer[boottime.Time]
 	proposals chan *proposal
 	inbox     chan *consensuspb.Message
 	// requests run on the goroutine that owns the log.
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/matryer/is"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
@@ -225,7 +225,7 @@
 func TestLeadersAgeCountsFromTheQuorum(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{FreshnessBound: time.Second}, nil)
-	c := &core{replica: r, tick: 10 * time.Millisecond, lastTick: steady.Now()}
+	c := &core{replica: r, tick: 10 * time.Millisecond, lastTick: boottime.Now()}
 	c.confirmAsLeader(consensus.Status{QuorumAge: 10})
 	age, err := r.Age()
 	is.NoErr(err)
