--- a/internal/coordination/control/attempts.go
+++ b/internal/coordination/control/attempts.go
@@ -14,51 +14,51 @@
 // announcement take up to one more.
 const electionTimeoutsPerAttempt = 3
 
-// Leaders provides the current leader as known to an instance.
-type Leaders interface {
+// LeaderWatcher provides the current leader as known to an instance.
+type LeaderWatcher interface {
 	Leader() string
 	// LeaderChanged returns a channel that is closed when another leader next becomes
 	// known.
 	LeaderChanged() <-chan struct{}
 }
 
-// Tries tracks the attempts to have the leader commit one command. It is not safe for
-// concurrent use.
-type Tries struct {
+// ProposeAttempts tracks the attempts to have the leader commit one command. It is not
+// safe for concurrent use.
+type ProposeAttempts struct {
 	idempotent bool
 	// unknownOutcome is the failure of the last attempt that may have been executed.
 	unknownOutcome error
 }
 
-// NewTries returns the Tries of a new command.
-func NewTries(command *controlpb.Command) *Tries {
-	return &Tries{idempotent: store.Idempotent(command)}
+// NewProposeAttempts returns the ProposeAttempts of a new command.
+func NewProposeAttempts(command *controlpb.Command) *ProposeAttempts {
+	return &ProposeAttempts{idempotent: store.Idempotent(command)}
 }
 
-// Bound derives the context of one attempt from ctx. A paused leader keeps its
+// AttemptContext derives the context of one attempt from ctx. A paused leader keeps its
 // connections open but does not answer: a caller that waited for it would miss its
 // deadline, although another leader could answer immediately. The attempt of an
 // idempotent command ends when a leader becomes known that is neither the one asked nor
 // the one known before, or after electionTimeoutsPerAttempt. Other commands get all of
 // ctx, since they are never sent again.
-func (t *Tries) Bound(ctx context.Context, leaders Leaders, known, asked string, electionTimeout time.Duration) (context.Context, context.CancelFunc) {
-	if !t.idempotent {
+func (a *ProposeAttempts) AttemptContext(ctx context.Context, watcher LeaderWatcher, known, asked string, electionTimeout time.Duration) (context.Context, context.CancelFunc) {
+	if !a.idempotent {
 		return ctx, func() {}
 	}
 	attempt, cancel := context.WithTimeout(ctx, electionTimeoutsPerAttempt*electionTimeout)
 	go func() {
 		defer cancel()
-		awaitOtherLeader(attempt, leaders, known, asked)
+		awaitOtherLeader(attempt, watcher, known, asked)
 	}()
 	return attempt, cancel
 }
 
 // awaitOtherLeader waits until a leader other than known and asked is known, or ctx
 // ends.
-func awaitOtherLeader(ctx context.Context, leaders Leaders, known, asked string) {
+func awaitOtherLeader(ctx context.Context, watcher LeaderWatcher, known, asked string) {
 	for {
-		changed := leaders.LeaderChanged()
-		if leader := leaders.Leader(); leader != "" && leader != known && leader != asked {
+		changed := watcher.LeaderChanged()
+		if leader := watcher.Leader(); leader != "" && leader != known && leader != asked {
 			return
 		}
 		select {
@@ -69,38 +69,38 @@
 	}
 }
 
-// Failed records a failed attempt and reports whether the command may be sent again
-// although the outcome of this attempt is unknown. It returns false if the command was
-// certainly not executed.
-func (t *Tries) Failed(err error) (retry bool) {
+// RecordFailure records a failed attempt and reports whether the command may be sent
+// again although the outcome of this attempt is unknown. It returns false if the command
+// was certainly not executed.
+func (a *ProposeAttempts) RecordFailure(err error) (retry bool) {
 	f := failure.From(err)
 	if f.NotRun == failure.NotRunTrue {
 		return false
 	}
-	t.unknownOutcome = err
-	return t.idempotent && (f.Code == failure.OutcomeUnknown || f.Code == failure.Unreachable)
+	a.unknownOutcome = err
+	return a.idempotent && (f.Code == failure.OutcomeUnknown || f.Code == failure.Unreachable)
 }
 
 // Idempotent reports whether the command may be executed twice.
-func (t *Tries) Idempotent() bool { return t.idempotent }
+func (a *ProposeAttempts) Idempotent() bool { return a.idempotent }
 
-// Failure returns the error for the caller after the last attempt. Once the outcome of
+// FinalError returns the error for the caller after the last attempt. Once the outcome of
 // an attempt was unknown, it remains unknown: a later rejection gives no information on
 // the earlier attempt.
-func (t *Tries) Failure(last error) error {
-	if t.unknownOutcome != nil {
-		return t.unknownOutcome
+func (a *ProposeAttempts) FinalError(last error) error {
+	if a.unknownOutcome != nil {
+		return a.unknownOutcome
 	}
 	return last
 }
 
-// Answer returns the result for the caller. A rejection by the state normally means
+// FinalResult returns the result for the caller. A rejection by the state normally means
 // that the command was not executed, but an earlier attempt may still be queued at a
 // leader and be committed later: a cancellation that found no workflow would then
 // cancel one submitted afterwards. In that case the earlier failure is returned.
-func (t *Tries) Answer(result *controlpb.Result) (*controlpb.Result, error) {
-	if t.idempotent && t.unknownOutcome != nil && result.GetCode() != "" {
-		return nil, t.unknownOutcome
+func (a *ProposeAttempts) FinalResult(result *controlpb.Result) (*controlpb.Result, error) {
+	if a.idempotent && a.unknownOutcome != nil && result.GetCode() != "" {
+		return nil, a.unknownOutcome
 	}
 	return result, nil
 }
--- a/internal/coordination/control/context.go
+++ b/internal/coordination/control/context.go
@@ -2,9 +2,9 @@
 
 import "context"
 
-// Until returns a context that ends when ctx ends or done is closed. The caller must
+// WithDone returns a context that ends when ctx ends or done is closed. The caller must
 // call the cancel function.
-func Until(ctx context.Context, done <-chan struct{}) (context.Context, context.CancelFunc) {
+func WithDone(ctx context.Context, done <-chan struct{}) (context.Context, context.CancelFunc) {
 	child, cancel := context.WithCancel(ctx)
 	go func() {
 		select {
--- a/internal/coordination/control/control.go
+++ b/internal/coordination/control/control.go
@@ -45,9 +45,9 @@
 	// Receive waits for the next batch. If the source ends the stream with a reason, it
 	// fails with that failure.
 	Receive() (*peerpb.FollowBatch, error)
-	// Arrived returns the number of bytes received, including those of an incomplete
-	// batch.
-	Arrived() uint64
+	// BytesReceived returns the number of bytes received, including those of an
+	// incomplete batch.
+	BytesReceived() uint64
 	Close() error
 }
 
@@ -86,9 +86,9 @@
 	Changed() <-chan struct{}
 }
 
-// Await waits until the local state includes a log index. It fails with stale_state if
-// ctx ends first.
-func Await(ctx context.Context, log Reader, index uint64) error {
+// AwaitIndex waits until the local state includes a log index. It fails with stale_state
+// if ctx ends first.
+func AwaitIndex(ctx context.Context, log Reader, index uint64) error {
 	for {
 		changed := log.Changed()
 		if log.State().Index() >= index {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	return Await(ctx, log, result.Index)
+	return AwaitIndex(ctx, log, result.Index)
 }
 
 // Pause sleeps between two attempts. It returns false if ctx ends first.
@@ -137,28 +137,28 @@
 	}
 }
 
-// Published holds the newest state of a node. One goroutine publishes; any number may
-// read concurrently.
-type Published struct {
+// PublishedState holds the newest state of a node. One goroutine publishes; any number
+// may read concurrently.
+type PublishedState struct {
 	state   atomic.Pointer[store.State]
 	changed Signal
 }
 
-// NewPublished returns a Published with the empty state.
-func NewPublished() *Published {
-	p := &Published{}
+// NewPublishedState returns a PublishedState with the empty state.
+func NewPublishedState() *PublishedState {
+	p := &PublishedState{}
 	p.state.Store(store.New())
 	return p
 }
 
 // State returns the newest published state.
-func (p *Published) State() *store.State { return p.state.Load() }
+func (p *PublishedState) State() *store.State { return p.state.Load() }
 
 // Changed returns a channel that is closed by the next Publish.
-func (p *Published) Changed() <-chan struct{} { return p.changed.Next() }
+func (p *PublishedState) Changed() <-chan struct{} { return p.changed.Next() }
 
 // Publish replaces the state and wakes all waiting goroutines.
-func (p *Published) Publish(state *store.State) {
+func (p *PublishedState) Publish(state *store.State) {
 	p.state.Store(state)
 	p.changed.Raise()
 }
--- a/internal/coordination/control/control_test.go
+++ b/internal/coordination/control/control_test.go
@@ -16,7 +16,7 @@
 // first leader resumes, considers the run ended because its state is outdated, and its
 // proposal is forwarded to the new leader. If the proposal had an effect, the task
 // would be placed again while its run is still executing.
-func TestDecisionOfAnEarlierLeaderTakesNoEffect(t *testing.T) {
+func TestDecisionOfEarlierLeaderHasNoEffect(t *testing.T) {
 	is := is.New(t)
 	job := &controlpb.Job{
 		Id: "j", Epoch: 1, State: controlpb.JobState_JOB_STATE_STOPPING, NextState: controlpb.JobState_JOB_STATE_WAITING,
--- a/internal/coordination/feed/encoding_test.go
+++ b/internal/coordination/feed/encoding_test.go
@@ -46,10 +46,10 @@
 }
 
 // stillSource is a source whose state is there and does not change.
-type stillSource struct{ *control.Published }
+type stillSource struct{ *control.PublishedState }
 
 func newStillSource() stillSource {
-	published := control.NewPublished()
+	published := control.NewPublishedState()
 	published.Publish(store.Restore(&controlpb.Snapshot{Index: 7, Drained: []string{"w1"}}))
 	return stillSource{published}
 }
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -57,7 +57,7 @@
 type Follower struct {
 	config    Config
 	peers     Peers
-	published *control.Published
+	published *control.PublishedState
 	feed      *feed.Server
 	// mu orders batches where two streams overlap during a change of source.
 	mu sync.Mutex
@@ -80,7 +80,7 @@
 
 // New makes a follower that has applied nothing yet.
 func New(config Config, peers Peers) *Follower {
-	f := &Follower{config: config, peers: peers, published: control.NewPublished(), told: map[string]failure.Code{}, named: map[string]Candidate{}}
+	f := &Follower{config: config, peers: peers, published: control.NewPublishedState(), told: map[string]failure.Code{}, named: map[string]Candidate{}}
 	f.feed = feed.NewServer(f)
 	f.leader.Store(new(string))
 	f.path.Store(&[]string{config.Self.Name})
--- a/internal/coordination/follower/mesh_test.go
+++ b/internal/coordination/follower/mesh_test.go
@@ -238,7 +238,7 @@
 func (s servingEnd) Receive() (*peerpb.FollowPing, error) { return s.pings.take() }
 func (s *stream) Send(p *peerpb.FollowPing) error         { return s.pings.put(p) }
 func (s *stream) Receive() (*peerpb.FollowBatch, error)   { return s.batches.take() }
-func (s *stream) Arrived() uint64                         { return s.batches.bytes() }
+func (s *stream) BytesReceived() uint64                   { return s.batches.bytes() }
 func (s *stream) Close() error                            { s.cancel(); return nil }
 func (e endpoint) both(to string, cut map[[2]string]bool) bool {
 	return cut[[2]string{e.name, to}] || cut[[2]string{to, e.name}]
@@ -294,7 +294,7 @@
 
 // voter is a leader whose log is in memory.
 type voter struct {
-	*control.Published
+	*control.PublishedState
 	name string
 	feed *feed.Server
 	// led names the leader where that is another one.
@@ -302,7 +302,7 @@
 }
 
 func newVoter(m *mesh, name string) *voter {
-	v := &voter{Published: control.NewPublished(), name: name}
+	v := &voter{PublishedState: control.NewPublishedState(), name: name}
 	v.feed = feed.NewServer(v)
 	m.nodes[name] = v
 	return v
--- a/internal/coordination/follower/propose.go
+++ b/internal/coordination/follower/propose.go
@@ -21,25 +21,25 @@
 func (f *Follower) Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposePatience)
 	defer cancel()
-	tries := control.NewTries(command)
+	attempts := control.NewProposeAttempts(command)
 	known := f.Leader()
 	to := target{name: known}
 	for pause := firstRetry; ; pause = min(2*pause, lastRetry) {
 		to.settle(f.config.Voters)
-		result, err := f.forward(ctx, tries, known, to.name, command)
+		result, err := f.forward(ctx, attempts, known, to.name, command)
 		if err == nil {
-			return tries.Answer(result)
+			return attempts.FinalResult(result)
 		}
-		again := tries.Failed(err)
+		again := attempts.RecordFailure(err)
 		refusal := failure.From(err)
 		if !again && !elsewhere(refusal) || !f.pauseBefore(ctx, refusal, to.name, pause) {
-			return nil, tries.Failure(err)
+			return nil, attempts.FinalError(err)
 		}
 		if again {
 			f.logAgain(to.name, err)
 		}
 		known = f.Leader()
-		to.next(refusal, tries, known)
+		to.next(refusal, attempts, known)
 	}
 }
 
@@ -78,13 +78,13 @@
 
 // next goes to the leader that a refusal names, or, with an idempotent command, to
 // the one known here unless that has just failed or kept silent.
-func (t *target) next(refusal *failure.Error, tries *control.Tries, known string) {
+func (t *target) next(refusal *failure.Error, attempts *control.ProposeAttempts, known string) {
 	failed := t.name
 	if refusal.NotRun != failure.NotRunTrue {
 		t.silent = failed
 	}
 	t.name = refusal.Leader
-	if t.name == "" && tries.Idempotent() && known != failed && known != t.silent {
+	if t.name == "" && attempts.Idempotent() && known != failed && known != t.silent {
 		t.name = known
 	}
 }
@@ -98,12 +98,12 @@
 	return refusal.Code == failure.NotLeader || refusal.Code == failure.NoLeader || refusal.Code == failure.Unreachable
 }
 
-func (f *Follower) forward(ctx context.Context, tries *control.Tries, known, to string, command *controlpb.Command) (*controlpb.Result, error) {
+func (f *Follower) forward(ctx context.Context, attempts *control.ProposeAttempts, known, to string, command *controlpb.Command) (*controlpb.Result, error) {
 	forwarded.Add(1)
-	try, end := tries.Bound(ctx, f, known, to, f.config.ElectionTimeout)
+	attempt, end := attempts.AttemptContext(ctx, f, known, to, f.config.ElectionTimeout)
 	defer end()
 	call := &peerpb.Call{Body: &peerpb.Call_Propose{Propose: &peerpb.Propose{Command: command}}}
-	reply, err := f.peers.Call(try, to, call)
+	reply, err := f.peers.Call(attempt, to, call)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/follower/silence.go
+++ b/internal/coordination/follower/silence.go
@@ -13,12 +13,12 @@
 	limit time.Duration
 	mu    sync.Mutex
 	timer *time.Timer
-	// arrived is the count of bytes when the timer was last set.
-	arrived uint64
+	// bytesReceived is the count of bytes when the timer was last set.
+	bytesReceived uint64
 }
 
 func watchSilence(l *link, limit time.Duration) *silenceWatch {
-	w := &silenceWatch{link: l, limit: limit, arrived: l.stream.Arrived()}
+	w := &silenceWatch{link: l, limit: limit, bytesReceived: l.stream.BytesReceived()}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.timer = time.AfterFunc(limit, w.look)
@@ -29,7 +29,7 @@
 func (w *silenceWatch) heard() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.arrived = w.link.stream.Arrived()
+	w.bytesReceived = w.link.stream.BytesReceived()
 	w.timer.Reset(w.limit)
 }
 
@@ -37,12 +37,12 @@
 func (w *silenceWatch) look() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	arrived := w.link.stream.Arrived()
-	if arrived == w.arrived {
+	received := w.link.stream.BytesReceived()
+	if received == w.bytesReceived {
 		w.link.close()
 		return
 	}
-	w.arrived = arrived
+	w.bytesReceived = received
 	w.timer.Reset(w.limit)
 }
 
--- a/internal/coordination/replica/confirm.go
+++ b/internal/coordination/replica/confirm.go
@@ -88,7 +88,7 @@
 	if leader == "" || leader == r.config.Instance {
 		return
 	}
-	led, leave := control.Until(ctx, changed)
+	led, leave := control.WithDone(ctx, changed)
 	defer leave()
 	asking, cancel := context.WithTimeout(led, r.config.FreshnessBound)
 	defer cancel()
@@ -106,7 +106,7 @@
 		return err
 	}
 	confirmation := reply.GetConfirmation()
-	if err := control.Await(ctx, r, confirmation.GetIndex()); err != nil {
+	if err := control.AwaitIndex(ctx, r, confirmation.GetIndex()); err != nil {
 		return err
 	}
 	r.confirm(sent.Add(-time.Duration(confirmation.GetAgeMs()) * time.Millisecond))
--- a/internal/coordination/replica/propose.go
+++ b/internal/coordination/replica/propose.go
@@ -46,15 +46,15 @@
 	defer cancel()
 	pauses := backoff.NewExponentialBackOff()
 	pauses.InitialInterval, pauses.MaxInterval = firstPause, lastPause
-	tries := control.NewTries(command)
+	attempts := control.NewProposeAttempts(command)
 	for {
-		result, err := r.proposeOnce(ctx, tries, command)
+		result, err := r.proposeOnce(ctx, attempts, command)
 		if err == nil {
-			return tries.Answer(result)
+			return attempts.FinalResult(result)
 		}
-		again := tries.Failed(err) && !r.closed()
+		again := attempts.RecordFailure(err) && !r.closed()
 		if !again && !worthRetry(command, err) || !control.Pause(ctx, pauses.NextBackOff()) {
-			return nil, tries.Failure(err)
+			return nil, attempts.FinalError(err)
 		}
 		if again {
 			r.logAgain(err)
@@ -92,7 +92,7 @@
 	return false
 }
 
-func (r *Replica) proposeOnce(ctx context.Context, tries *control.Tries, command *controlpb.Command) (*controlpb.Result, error) {
+func (r *Replica) proposeOnce(ctx context.Context, attempts *control.ProposeAttempts, command *controlpb.Command) (*controlpb.Result, error) {
 	leader := r.Leader()
 	switch leader {
 	case r.config.Instance:
@@ -102,9 +102,9 @@
 	}
 	forwarded.Add(1)
 	call := &peerpb.Call{Body: &peerpb.Call_Propose{Propose: &peerpb.Propose{Command: command}}}
-	try, end := tries.Bound(ctx, r, leader, leader, r.config.ElectionTimeout)
+	attempt, end := attempts.AttemptContext(ctx, r, leader, leader, r.config.ElectionTimeout)
 	defer end()
-	reply, err := r.peers.Call(try, leader, call)
+	reply, err := r.peers.Call(attempt, leader, call)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -91,7 +91,7 @@
 type Replica struct {
 	config    Config
 	peers     Peers
-	published *control.Published
+	published *control.PublishedState
 	feed      *feed.Server
 	view      atomic.Pointer[view]
 	// leaderChanged is raised after the view names another leader, or none.
@@ -125,7 +125,7 @@
 	r := &Replica{
 		config:    config,
 		peers:     peers,
-		published: control.NewPublished(),
+		published: control.NewPublishedState(),
 		proposals: make(chan *proposal, queueLength),
 		inbox:     make(chan *consensuspb.Message, inboxLength),
 		requests:  make(chan func(*core)),
--- a/internal/coordination/standby/standby.go
+++ b/internal/coordination/standby/standby.go
@@ -157,7 +157,7 @@
 // would send a state that only grows old, and all who follow it would lose it at the
 // same moment, stale. Ended while they are fresh, they search and find the replica.
 func (n *Node) serveFollowed(ctx context.Context, stopped <-chan struct{}, follow *peerpb.Follow, stream control.Stream) error {
-	serving, end := control.Until(ctx, stopped)
+	serving, end := control.WithDone(ctx, stopped)
 	defer end()
 	err := n.follower.ServeFollow(serving, follow, stream)
 	select {
--- a/internal/coordination/standby/standby_test.go
+++ b/internal/coordination/standby/standby_test.go
@@ -115,7 +115,7 @@
 // part is a replica or a follower whose state is empty and confirmed while it works.
 type part struct {
 	control.Node
-	*control.Published
+	*control.PublishedState
 	path      []string
 	feed      *feed.Server
 	confirmed atomic.Pointer[time.Time]
@@ -123,7 +123,7 @@
 }
 
 func newPart(path ...string) *part {
-	p := &part{Published: control.NewPublished(), path: path}
+	p := &part{PublishedState: control.NewPublishedState(), path: path}
 	p.feed = feed.NewServer(p)
 	return p
 }
@@ -167,8 +167,8 @@
 	return err
 }
 
-func (p *part) State() *store.State      { return p.Published.State() }
-func (p *part) Changed() <-chan struct{} { return p.Published.Changed() }
+func (p *part) State() *store.State      { return p.PublishedState.State() }
+func (p *part) Changed() <-chan struct{} { return p.PublishedState.Changed() }
 func (p *part) Leader() string           { return "other" }
 func (p *part) Path() []string           { return p.path }
 func (p *part) Member() bool             { return true }
@@ -216,7 +216,7 @@
 
 func (f following) Send(ping *peerpb.FollowPing) error    { return pass(f.ctx, f.pings, ping) }
 func (f following) Receive() (*peerpb.FollowBatch, error) { return take(f.ctx, f.batches) }
-func (f following) Arrived() uint64                       { return 0 }
+func (f following) BytesReceived() uint64                 { return 0 }
 func (f following) Close() error                          { f.cancel(); return nil }
 
 func pass[T any](ctx context.Context, to chan<- T, message T) error {
--- a/internal/transport/httpapi/jobs.go
+++ b/internal/transport/httpapi/jobs.go
@@ -123,7 +123,7 @@
 func (s *Server) awaitOwn(ctx context.Context, index uint64) {
 	ctx, cancel := context.WithTimeout(ctx, ownStateWait)
 	defer cancel()
-	_ = control.Await(ctx, s.control, index)
+	_ = control.AwaitIndex(ctx, s.control, index)
 }
 
 func (s *Server) listJobs(w http.ResponseWriter, _ *http.Request, customer string) {
--- a/internal/transport/httpapi/own_test.go
+++ b/internal/transport/httpapi/own_test.go
@@ -18,7 +18,7 @@
 
 // follower has a command accepted elsewhere and sees it lag later.
 type follower struct {
-	*control.Published
+	*control.PublishedState
 	lag time.Duration
 }
 
@@ -39,7 +39,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, l := newServer(t)
-		f := &follower{Published: control.NewPublished(), lag: 80 * time.Millisecond}
+		f := &follower{PublishedState: control.NewPublishedState(), lag: 80 * time.Millisecond}
 		f.Publish(l.state)
 		s.control = f
 		is.Equal(jobCall(s, http.MethodPost, api.PathJobs, `{"class":"survey","key":"k"}`), http.StatusOK)
@@ -53,7 +53,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, l := newServer(t)
-		f := &follower{Published: control.NewPublished(), lag: time.Hour}
+		f := &follower{PublishedState: control.NewPublishedState(), lag: time.Hour}
 		f.Publish(l.state)
 		s.control = f
 		began := time.Now()
--- a/internal/transport/peers/streams.go
+++ b/internal/transport/peers/streams.go
@@ -23,8 +23,8 @@
 	other  string
 	stream net.Conn
 	reader *bufio.Reader
-	// arrived counts the bytes that have come; nil where nobody asks.
-	arrived *atomic.Uint64
+	// bytesReceived counts the bytes received; nil if the count is not used.
+	bytesReceived *atomic.Uint64
 	// refused finds the failure with which the other side ends the stream.
 	refused func(InMessage) *peerpb.Failure
 	stop    func() bool
@@ -52,8 +52,8 @@
 	return message, nil
 }
 
-// Arrived counts the bytes that have come.
-func (d *duplex[Out, In, InMessage]) Arrived() uint64 { return d.arrived.Load() }
+// BytesReceived returns the number of bytes received.
+func (d *duplex[Out, In, InMessage]) BytesReceived() uint64 { return d.bytesReceived.Load() }
 
 // Close ends the stream, and a Receive that waits on it: see endWith.
 func (d *duplex[Out, In, InMessage]) Close() error {
@@ -105,10 +105,10 @@
 	if err != nil {
 		return nil, err
 	}
-	arrived := &atomic.Uint64{}
-	reader := bufio.NewReader(&countingReader{stream: stream, count: arrived})
+	bytesReceived := &atomic.Uint64{}
+	reader := bufio.NewReader(&countingReader{stream: stream, count: bytesReceived})
 	return &followAsking{
-		other: to, stream: stream, reader: reader, arrived: arrived, stop: stop, refused: (*peerpb.FollowBatch).GetFailure,
+		other: to, stream: stream, reader: reader, bytesReceived: bytesReceived, stop: stop, refused: (*peerpb.FollowBatch).GetFailure,
 	}, nil
 }
 
