--- a/internal/coordination/scheduling/golden_test.go
+++ b/internal/coordination/scheduling/golden_test.go
@@ -32,7 +32,7 @@
 // and changes of speed in between, and the digest of all their plans has to match the
 // golden file. So do those of the benchmarks' snapshots. Intended policy changes update
 // the file with -update.
-func TestPlansAreTheGoldenOnes(t *testing.T) {
+func TestPlansMatchGoldenFile(t *testing.T) {
 	var got []string
 	for seed := range uint64(goldenWorlds) {
 		got = append(got, fmt.Sprintf("seed-%d %s", seed, digestOf(t, newSeededWorld(seed).run())))
--- a/internal/coordination/scheduling/invariant_test.go
+++ b/internal/coordination/scheduling/invariant_test.go
@@ -225,7 +225,7 @@
 // here, since it would rightly precede their other work. A job started on free capacity
 // outside its cells may be preempted as a borrower, and then reclaims its cells; the
 // second pass may already show it that way.
-func TestEveryOwnerTakesBackAtOnce(t *testing.T) {
+func TestAllOwnersReclaimCellsInOnePass(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := drawWorld(t)
 		w.ownersNotUrgent = true
--- a/internal/coordination/scheduling/locality.go
+++ b/internal/coordination/scheduling/locality.go
@@ -30,7 +30,7 @@
 // than the longer run elsewhere would (a ski-rental rule).
 func (p *pass) restrictLocality(req *request) {
 	job := req.job
-	if p.off(AwaitNear) || job.Workflow == "" || (job.DataRack == "" && !job.TightlyCoupled) || p.localityWaitOver(req) {
+	if p.disabled(DelayForLocality) || job.Workflow == "" || (job.DataRack == "" && !job.TightlyCoupled) || p.localityWaitOver(req) {
 		return
 	}
 	if job.DataRack != "" && p.cluster.rackCanHold(job.DataRack, req) {
@@ -50,7 +50,7 @@
 func (p *pass) localityWaitOver(req *request) bool {
 	waited := time.Duration(p.nowMs-req.job.SubmittedMs) * time.Millisecond
 	limit := p.remoteExtraTime(req.job)
-	if !p.off(SpareRoom) {
+	if !p.disabled(ExtendLocalityWait) {
 		limit *= contendedWaitFactor
 	}
 	if p.withinGuarantee(req.job) {
@@ -74,7 +74,7 @@
 	if float64(p.cluster.free.accelerators) <= idleFreeShare*float64(p.totalAccelerators) {
 		return false
 	}
-	return p.off(SpareRoom) || !p.othersWait(job)
+	return p.disabled(ExtendLocalityWait) || !p.othersWait(job)
 }
 
 // othersWait reports whether work outside the job's workflow waits.
--- a/internal/coordination/scheduling/locality_test.go
+++ b/internal/coordination/scheduling/locality_test.go
@@ -130,7 +130,7 @@
 // Guards against all coupled gangs of a burst spreading over the last free racks: they
 // would run three times as long, end late, and leave no rack free for the gangs after
 // them.
-func TestCoupledGangsSpareRoomThatOthersWaitFor(t *testing.T) {
+func TestCoupledGangsWaitForWholeRacksUnderContention(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		busy  time.Duration
--- a/internal/coordination/scheduling/mechanisms.go
+++ b/internal/coordination/scheduling/mechanisms.go
@@ -13,22 +13,24 @@
 const (
 	// KeepWarm keeps capacity that urgent work has just freed for the next urgent work.
 	KeepWarm Mechanisms = 1 << iota
-	// AwaitNear delays work until there is capacity near its data, or in one rack.
-	AwaitNear
-	// MatchPace places gangs on workers of one speed class.
-	MatchPace
-	// SpareRoom lengthens the wait for local capacity while other work waits too.
-	SpareRoom
-	// BeginStanding starts starved work on any eligible worker.
-	BeginStanding
+	// DelayForLocality delays work until there is capacity near its data, or in one
+	// rack.
+	DelayForLocality
+	// MatchSpeed places gangs on workers of one speed class.
+	MatchSpeed
+	// ExtendLocalityWait lengthens the wait for local capacity while other work waits
+	// too.
+	ExtendLocalityWait
+	// StartStarved starts starved work on any eligible worker.
+	StartStarved
 )
 
 var mechanismNames = map[string]Mechanisms{
 	"keep-warm":      KeepWarm,
-	"await-near":     AwaitNear,
-	"match-pace":     MatchPace,
-	"spare-room":     SpareRoom,
-	"begin-standing": BeginStanding,
+	"await-near":     DelayForLocality,
+	"match-pace":     MatchSpeed,
+	"spare-room":     ExtendLocalityWait,
+	"begin-standing": StartStarved,
 }
 
 // ParseMechanisms parses names separated by commas; the empty text is the empty set.
--- a/internal/coordination/scheduling/pass.go
+++ b/internal/coordination/scheduling/pass.go
@@ -126,11 +126,11 @@
 
 		maxTasks: map[Shape]int64{},
 	}
-	for _, starved := range snapshot.Standing {
+	for _, starved := range snapshot.Starved {
 		p.previouslyStarved[starved.Job] = starved
 	}
 	p.plan.QuietSince = quietSince(snapshot.Jobs)
-	if p.off(MatchPace) {
+	if p.disabled(MatchSpeed) {
 		p.cluster.speeds = 0
 	}
 	p.total = p.cluster.free
@@ -165,7 +165,7 @@
 	if all == 0 {
 		free, all = p.cluster.free.cores, p.total.cores
 	}
-	if p.off(KeepWarm) || float64(free) > (1-warmShare)*float64(all) {
+	if p.disabled(KeepWarm) || float64(free) > (1-warmShare)*float64(all) {
 		return
 	}
 	for _, n := range p.cluster.nodes {
@@ -173,7 +173,7 @@
 	}
 }
 
-func (p *pass) off(mechanism Mechanisms) bool { return p.snapshot.Off.has(mechanism) }
+func (p *pass) disabled(mechanism Mechanisms) bool { return p.snapshot.Disabled.has(mechanism) }
 
 func sortedNames[T any](byName map[string]T) []string {
 	return slices.Sorted(maps.Keys(byName))
--- a/internal/coordination/scheduling/reservation_test.go
+++ b/internal/coordination/scheduling/reservation_test.go
@@ -17,7 +17,7 @@
 	return func(j *controlpb.Job) { j.RunTimeMs = d.Milliseconds() }
 }
 
-func TestStarvingWork(t *testing.T) {
+func TestLongWaitingWork(t *testing.T) {
 	two := testWorkers(1, 1, 2, 8)
 	nonPreemptible := func() *controlpb.Job { return waitingJob("x", "b", 1, 8, running(time.Hour, 0, "d0-r0-w0")) }
 	gang := func(ago time.Duration) *controlpb.Job { return waitingJob("g", "a", 2, 8, submitted(ago)) }
@@ -51,7 +51,7 @@
 // workers. The work on one of them runs a hundred times as long as declared, and short
 // work that would fit onto the other keeps arriving. The gang has to keep its
 // reservation and start as soon as the overrunning work ends.
-func TestBackfillThatOverrunsDoesNotPushOutAReservation(t *testing.T) {
+func TestOverrunningWorkDoesNotDelayAReservation(t *testing.T) {
 	is := is.New(t)
 	overrun := waitingJob("x", "b", 1, 8, running(0, 0, "d0-r0-w0"), runTime(time.Minute))
 	gang := waitingJob("g", "a", 2, 8, submitted(3*time.Hour))
@@ -70,7 +70,7 @@
 
 // Capacity preempted for a job is released only in a later pass. Work that arrives in
 // between, and would be served first, must not get it.
-func TestRoomTakenBackIsKeptForItsJob(t *testing.T) {
+func TestPreemptedCapacityIsReservedForItsJob(t *testing.T) {
 	is := is.New(t)
 	borrower := waitingJob("x", "b", 1, 8, checkpointable, running(time.Hour, 0, "d0-r0-w0"))
 	s := snapshotOf(testWorkers(1, 1, 1, 8), nil, borrower, waitingJob("late", "c", 1, 8, urgent))
--- a/internal/coordination/scheduling/scheduling.go
+++ b/internal/coordination/scheduling/scheduling.go
@@ -47,21 +47,21 @@
 	Cells []Cell
 	// Reservations are those of the previous plan, if any.
 	Reservations []Reservation
-	// Standing are the starved jobs of the previous plan, if any.
-	Standing []Standing
+	// Starved are the starved jobs of the previous plan, if any.
+	Starved []Standing
 	// Warm are workers that urgent work has just left; free capacity there is kept for
 	// the next urgent work for a short time.
 	Warm map[string]bool
 	// RunTimes estimates run times from past runs of each class; nil without
 	// observations.
 	RunTimes *RunTimes
-	// Off are mechanisms that an experiment switches off; empty in production.
-	Off Mechanisms
+	// Disabled are mechanisms that an experiment switches off; empty in production.
+	Disabled Mechanisms
 }
 
 // GoOnFrom copies the state that a plan passes on to the next pass.
 func (s *Snapshot) GoOnFrom(plan *Plan) {
-	s.Cells, s.Reservations, s.Standing = plan.Cells, plan.Reservations, plan.Standing
+	s.Cells, s.Reservations, s.Starved = plan.Cells, plan.Reservations, plan.Standing
 }
 
 // ReasonCode is why a job waits.
--- a/internal/coordination/scheduling/starvation.go
+++ b/internal/coordination/scheduling/starvation.go
@@ -117,13 +117,13 @@
 // on any eligible worker.
 func (p *pass) starvedTooLong(req *request) bool {
 	starved, known := p.previouslyStarved[req.job.Id]
-	return known && p.snapshot.Now.Sub(starved.Since) >= MostStand && !p.off(BeginStanding)
+	return known && p.snapshot.Now.Sub(starved.Since) >= MostStand && !p.disabled(StartStarved)
 }
 
 // waitedUntilQuiet reports whether a job has waited as long when arrivals stop:
 // capacity of some kind was free before, and counts from then on.
 func (p *pass) waitedUntilQuiet(req *request) bool {
-	return p.quiet() && p.nowMs-req.job.SubmittedMs >= MostStand.Milliseconds() && !p.off(BeginStanding)
+	return p.quiet() && p.nowMs-req.job.SubmittedMs >= MostStand.Milliseconds() && !p.disabled(StartStarved)
 }
 
 // startStarved starts work that has been starved too long on capacity it was restricted
--- a/internal/coordination/scheduling/starvation_test.go
+++ b/internal/coordination/scheduling/starvation_test.go
@@ -39,7 +39,7 @@
 // Guards against starvation by locality: accepted work of several workflows has nothing
 // running as long as the rack of its data, or every rack, is partly busy, while most
 // of the workers are idle.
-func TestWorkBeginsBesideFreeRoom(t *testing.T) {
+func TestRestrictedWorkStartsWhileCapacityIsFree(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		busy   func(time.Duration) ([]Worker, []arrival)
@@ -108,10 +108,10 @@
 
 // Guards against starvation ruling out preemption: guaranteed or urgent work that has
 // been starved, but can't start on any worker, still has to preempt.
-func TestWorkThatStoodStillTakesBack(t *testing.T) {
+func TestStarvedWorkMayPreempt(t *testing.T) {
 	one := func() []Worker { return testWorkers(1, 1, 1, 8) }
 	starved := func(snapshot *Snapshot, job string) *Snapshot {
-		snapshot.Standing = []Standing{{Job: job, Since: start.Add(-time.Minute)}}
+		snapshot.Starved = []Standing{{Job: job, Since: start.Add(-time.Minute)}}
 		return snapshot
 	}
 	lent := func() *controlpb.Job { return unitJob("loan", "b", 1, 8, running(time.Second, 0, "d0-r0-w0")) }
@@ -166,7 +166,7 @@
 
 // Work of any shape is never starved for long while there is ample free capacity,
 // whatever runs and arrives at the same time.
-func TestNothingStandsBesideFreeRoom(t *testing.T) {
+func TestNoWorkIsStarvedBesideFreeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers, busy := drawBusyCluster(t)
 		racks := map[string]bool{}
--- a/internal/coordination/scheduling/units_test.go
+++ b/internal/coordination/scheduling/units_test.go
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestTakingBackForUnits(t *testing.T) {
+func TestPreemptionForUnits(t *testing.T) {
 	one, two := func() []Worker { return testWorkers(1, 1, 1, 8) }, func() []Worker { return testWorkers(1, 1, 2, 8) }
 	busy := []*controlpb.Job{unitJob("k", "b", 1, 8, running(time.Second, 0, "d0-r0-w2")), unitJob("l", "b", 1, 8, running(time.Second, 0, "d0-r0-w3"))}
 	warm := unitsSnapshot(testWorkers(1, 1, 4, 8), append(busy, unitJob("i", "b", 1, 8), unitJob("j", "b", 1, 8))...)
--- a/internal/experiment/overload/engine.go
+++ b/internal/experiment/overload/engine.go
@@ -242,7 +242,7 @@
 	now := time.UnixMilli(0).Add(e.now)
 	snapshot := &scheduling.Snapshot{
 		Now: now, Workers: workers, Jobs: jobs, Customers: e.day.customers, Rules: &controlpb.Rules{},
-		Warm: e.warm.Look(jobs, now), RunTimes: e.learned, Off: e.off,
+		Warm: e.warm.Look(jobs, now), RunTimes: e.learned, Disabled: e.off,
 	}
 	snapshot.GoOnFrom(e.plan)
 	e.plan = scheduling.Pass(snapshot)
--- a/internal/experiment/overload/overload_test.go
+++ b/internal/experiment/overload/overload_test.go
@@ -35,7 +35,7 @@
 // accelerators stand still meanwhile.
 func TestGangsOfOnePaceServeMoreUnderOverload(t *testing.T) {
 	is, d := is.New(t), load(t)
-	variants := []Variant{{Name: "all"}, {Name: "without", Off: scheduling.MatchPace}}
+	variants := []Variant{{Name: "all"}, {Name: "without", Off: scheduling.MatchSpeed}}
 	c := Compare(d, variants, 1, 12, 2, func() {})
 	inTime := func(results []*Result) (share float64) {
 		for _, q := range sumQueues(results) {
@@ -58,7 +58,7 @@
 // The pass may not break its own invariants, whatever is switched off.
 func TestNoPlanIsRefused(t *testing.T) {
 	is, d := is.New(t), load(t)
-	for _, off := range []scheduling.Mechanisms{0, scheduling.KeepWarm, scheduling.AwaitNear, scheduling.MatchPace, scheduling.SpareRoom, scheduling.BeginStanding} {
+	for _, off := range []scheduling.Mechanisms{0, scheduling.KeepWarm, scheduling.DelayForLocality, scheduling.MatchSpeed, scheduling.ExtendLocalityWait, scheduling.StartStarved} {
 		is.Equal(Replay(d.Day(3), off).Breaches, 0)
 	}
 }
@@ -85,7 +85,7 @@
 	is := is.New(t)
 	set, err := scheduling.ParseMechanisms("keep-warm,match-pace")
 	is.NoErr(err)
-	is.Equal(set, scheduling.KeepWarm|scheduling.MatchPace)
+	is.Equal(set, scheduling.KeepWarm|scheduling.MatchSpeed)
 	_, err = scheduling.ParseMechanisms("luck")
 	is.True(err != nil)
 }
