--- a/internal/coordination/dispatch/gang/cutoff_test.go
+++ b/internal/coordination/dispatch/gang/cutoff_test.go
@@ -10,7 +10,7 @@
 
 // Workers must turn to another instance when theirs is partitioned from the log but still
 // answers. Otherwise their leases are not renewed and healthy workers lose their tasks.
-func TestWorkersBehindACutOffInstanceKeepTheirGang(t *testing.T) {
+func TestWorkersFailOverFromPartitionedInstance(t *testing.T) {
 	is := is.New(t)
 	m := newGangModel(3, &controlpb.Job{RunTimeMs: 60000})
 	m.otherInstance = &followerInstance{clock: exactClock(), state: m.state}
--- a/internal/coordination/dispatch/gang/progress_test.go
+++ b/internal/coordination/dispatch/gang/progress_test.go
@@ -62,7 +62,7 @@
 
 // A worker that hangs but keeps reporting must not block its job: the gang is stopped
 // once a task's progress has not changed for StallAfter.
-func TestWorkThatStandsStillIsStopped(t *testing.T) {
+func TestStalledWorkIsStopped(t *testing.T) {
 	is := is.New(t)
 	m := newProgressModel(2, 8*time.Second)
 	is.Equal(m.report(0, 10, 10), nil)
--- a/internal/coordination/dispatch/gang/retry_test.go
+++ b/internal/coordination/dispatch/gang/retry_test.go
@@ -65,7 +65,7 @@
 
 // Infrastructure failures must lengthen the backoff only a little: otherwise a job that
 // lost several workers waits for minutes while workers are idle.
-func TestLostWorkersLengthenThePauseLittle(t *testing.T) {
+func TestLostWorkersLengthenBackoffLittle(t *testing.T) {
 	is := is.New(t)
 	lost := &controlpb.Job{Id: "j", Epoch: 8, Failures: failuresOn("lease_lost", "a", "b", "c", "d", "e", "f", "g")}
 	is.True(backoff(lost) <= 4*time.Second)
--- a/internal/coordination/dispatch/gang/steps_test.go
+++ b/internal/coordination/dispatch/gang/steps_test.go
@@ -181,7 +181,7 @@
 
 // The accelerators of an unreachable member are released within StopWait, but not while
 // the member still runs on them.
-func TestLeaseHasSurelyRunOut(t *testing.T) {
+func TestAcceleratorsAreReleasedOnlyAfterLeaseExpiry(t *testing.T) {
 	for name, fault := range map[string]func(m *model){
 		"renewed by a partitioned instance": func(m *model) { m.instance.partitioned = true },
 		"without a partition":               func(m *model) {},
@@ -225,7 +225,7 @@
 
 // A reserve delayed by the network beyond StopWait must be refused: its accelerators may
 // belong to another gang by then.
-func TestLateCommandComesToNothing(t *testing.T) {
+func TestDelayedCommandIsRefused(t *testing.T) {
 	is := is.New(t)
 	m := newModel(exactClock, 3)
 	m.round()
@@ -301,7 +301,7 @@
 
 // A new leader must not send commands that refer to an announcement older than any lease:
 // the worker would refuse them, which would cost the job an attempt.
-func TestNewLeaderCommandsOnNoAnnouncementOfUnknownAge(t *testing.T) {
+func TestNewLeaderSendsNoCommandForAnnouncementOfUnknownAge(t *testing.T) {
 	is := is.New(t)
 	m := newModel(exactClock, 3)
 	m.round()
--- a/internal/coordination/dispatch/gang/stops_test.go
+++ b/internal/coordination/dispatch/gang/stops_test.go
@@ -26,7 +26,7 @@
 
 // A stop must end even if every leader is lost before StopWait has passed. It would not
 // if each leader restarted the wait for the lease of an unreachable member.
-func TestStopEndsThoughLeadersAreLost(t *testing.T) {
+func TestStopCompletesAcrossLeaderChanges(t *testing.T) {
 	is := is.New(t)
 	m := newStoppingGangModel(t)
 	stoppedAt := m.elapsed
@@ -42,7 +42,7 @@
 }
 
 // A leader that was not running when the stop was committed waits for the full StopWait.
-func TestLeaderThatHasJustStartedWaitsInFull(t *testing.T) {
+func TestNewlyStartedLeaderWaitsFullStopWait(t *testing.T) {
 	is := is.New(t)
 	m := newStoppingGangModel(t)
 	for stoppedAt := m.elapsed; m.elapsed-stoppedAt < config.StopWait()/2; {
@@ -56,7 +56,7 @@
 
 // The stop of a later epoch must not inherit the wait of an earlier epoch whose end this
 // instance never saw: accelerators would be released while tasks still run on them.
-func TestStopOfALaterEpochIsWaitedForAnew(t *testing.T) {
+func TestStopOfLaterEpochRestartsWait(t *testing.T) {
 	is := is.New(t)
 	machine, now := gang.New(config), epochStart
 	job := &controlpb.Job{
--- a/internal/coordination/dispatch/gang/unstarted_test.go
+++ b/internal/coordination/dispatch/gang/unstarted_test.go
@@ -89,7 +89,7 @@
 
 // A refused start must not stop a running gang if an earlier start of the same run
 // succeeded.
-func TestRefusedStartOfARunThatShowsEndsNothing(t *testing.T) {
+func TestRefusedStartOfReportedRunIsIgnored(t *testing.T) {
 	is, l := is.New(t), newLeaderRenewalModel()
 	l.step()
 	l.step(answerOf(gang.Reserve, 0, nil), answerOf(gang.Reserve, 1, nil))
