--- a/internal/coordination/consensus/electiontimeout.go
+++ b/internal/coordination/consensus/electiontimeout.go
@@ -19,7 +19,7 @@
 	minTicks, maxTicks int
 	// maxInterval is the longest interval, in ticks, observed in the current and the
 	// previous window; windowStart is the tick at which the current one began.
-	maxInterval recent.Largest[int]
+	maxInterval recent.Max[int]
 	windowStart uint64
 	// lastReceived is the tick of the last message received from leader in term.
 	leader       string
@@ -28,7 +28,7 @@
 }
 
 func newElectionTimeout(config Config) electionTimeout {
-	return electionTimeout{minTicks: config.ElectionTicks, maxTicks: max(config.MostElectionTicks, config.ElectionTicks)}
+	return electionTimeout{minTicks: config.ElectionTicks, maxTicks: max(config.MaxElectionTicks, config.ElectionTicks)}
 }
 
 // ticks returns the current minimum election timeout: twice the longest interval
@@ -40,7 +40,7 @@
 // tick starts a new observation window when the current one is over.
 func (e *electionTimeout) tick(now uint64) {
 	if now-e.windowStart >= uint64(observationWindow*e.minTicks) {
-		e.maxInterval.Turn()
+		e.maxInterval.Rotate()
 		e.windowStart = now
 	}
 }
@@ -57,11 +57,11 @@
 // observe records an interval, in ticks, after which a replica was still alive.
 func (e *electionTimeout) observe(interval int) {
 	if interval <= e.maxTicks {
-		e.maxInterval.See(interval)
+		e.maxInterval.Observe(interval)
 	}
 }
 
-// StoodStill reports that the driver was paused for a number of ticks. The pause is
+// ObservePause reports that the driver was paused for a number of ticks. The pause is
 // observed like an interval between messages, since the other replicas may be paused
 // for as long.
-func (n *Node) StoodStill(ticks int) { n.electionTimeout.observe(ticks) }
+func (n *Node) ObservePause(ticks int) { n.electionTimeout.observe(ticks) }
--- a/internal/coordination/replica/confirm.go
+++ b/internal/coordination/replica/confirm.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
@@ -52,7 +52,7 @@
 }
 
 // confirm moves the confirmation forward, never back.
-func (r *Replica) confirm(at steady.Moment) {
+func (r *Replica) confirm(at boottime.Time) {
 	for {
 		earlier := r.confirmed.Load()
 		if earlier != nil && !at.After(*earlier) {
@@ -88,7 +88,7 @@
 	if leader == "" || leader == r.config.Instance {
 		return
 	}
-	led, leave := control.Until(ctx, changed)
+	led, leave := control.WithDone(ctx, changed)
 	defer leave()
 	asking, cancel := context.WithTimeout(led, r.config.FreshnessBound)
 	defer cancel()
@@ -99,14 +99,14 @@
 // confirmFrom asks the leader and waits until what it had committed is applied
 // here. Only this process's clock is read: the age counts from the sending.
 func (r *Replica) confirmFrom(ctx context.Context, leader string, fresh bool) error {
-	sent := steady.Now()
+	sent := boottime.Now()
 	call := &peerpb.Call{Body: &peerpb.Call_Confirm{Confirm: &peerpb.Confirm{Read: fresh}}}
 	reply, err := r.peers.Call(ctx, leader, call)
 	if err != nil {
 		return err
 	}
 	confirmation := reply.GetConfirmation()
-	if err := control.Await(ctx, r, confirmation.GetIndex()); err != nil {
+	if err := control.AwaitIndex(ctx, r, confirmation.GetIndex()); err != nil {
 		return err
 	}
 	r.confirm(sent.Add(-time.Duration(confirmation.GetAgeMs()) * time.Millisecond))
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -13,10 +13,10 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pinewinch.example/pinewinch/internal/coordination/boottime"
 	"pinewinch.example/pinewinch/internal/coordination/consensus"
 	"pinewinch.example/pinewinch/internal/coordination/control"
 	"pinewinch.example/pinewinch/internal/coordination/feed"
-	"pinewinch.example/pinewinch/internal/coordination/steady"
 	"pinewinch.example/pinewinch/internal/protocol/consensuspb"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
@@ -27,8 +27,8 @@
 const (
 	// electionTicks divides the shortest election timeout.
 	electionTicks = 10
-	// mostElectionTicks bounds it where it follows silences and standstills.
-	mostElectionTicks = 4 * electionTicks
+	// maxElectionTicks bounds it where it follows silences and standstills.
+	maxElectionTicks = 4 * electionTicks
 	// heartbeatTicks lets three heartbeats be lost before an election.
 	heartbeatTicks = 3
 	// maxAppendBytes and maxInflight bound what is on its way to one member.
@@ -91,14 +91,14 @@
 type Replica struct {
 	config    Config
 	peers     Peers
-	published *control.Published
+	published *control.PublishedState
 	feed      *feed.Server
 	view      atomic.Pointer[view]
 	// leaderChanged is raised after the view names another leader, or none.
 	leaderChanged control.Signal
 	// confirmed is a time of this process's clock at which the published state
 	// held everything committed.
-	confirmed atomic.Pointer[steady.Moment]
+	confirmed atomic.Pointer[boottime.Time]
 	proposals chan *proposal
 	inbox     chan *consensuspb.Message
 	// requests run on the goroutine that owns the log.
@@ -125,7 +125,7 @@
 	r := &Replica{
 		config:    config,
 		peers:     peers,
-		published: control.NewPublished(),
+		published: control.NewPublishedState(),
 		proposals: make(chan *proposal, queueLength),
 		inbox:     make(chan *consensuspb.Message, inboxLength),
 		requests:  make(chan func(*core)),
