--- a/internal/app/credits.go
+++ b/internal/app/credits.go
@@ -27,14 +27,14 @@
 
 // runCreditMembers keeps the members while this instance leads.
 func runCreditMembers(lifecycle fx.Lifecycle, s *settings.Settings, log control.Log, registry *membership.Registry) {
-	keeper := creditmembers.NewKeeper(s.Control.FreshnessBound)
+	tracker := creditmembers.NewTracker(s.Control.FreshnessBound)
 	background(lifecycle, func(ctx context.Context) {
 		control.Every(ctx, keepEvery, func() {
 			if !log.IsLeader() || log.Fresh() != nil {
-				keeper.Forget()
+				tracker.Reset()
 				return
 			}
-			next := keeper.Next(time.Now(), log.State().CreditMembers(), aliveInstances(registry))
+			next := tracker.Next(time.Now(), log.State().CreditMembers(), aliveInstances(registry))
 			if next != nil {
 				proposeCreditMembers(ctx, log, next)
 			}
@@ -59,28 +59,28 @@
 	return alive
 }
 
-// lenders carries asks for credits to other instances.
+// lenders sends borrow requests for credits to other instances.
 type lenders struct{ network *peers.Network }
 
-// Ask implements routing.Lenders.
-func (l lenders) Ask(ctx context.Context, to string, ask admission.Ask) (admission.Reply, error) {
-	call := &peerpb.Call{Body: &peerpb.Call_CreditAsk{CreditAsk: routing.EncodeAsk(ask)}}
+// Borrow implements routing.CreditLenders.
+func (l lenders) Borrow(ctx context.Context, to string, request admission.BorrowRequest) (admission.BorrowReply, error) {
+	call := &peerpb.Call{Body: &peerpb.Call_CreditAsk{CreditAsk: routing.EncodeBorrowRequest(request)}}
 	reply, err := l.network.Call(ctx, to, call)
 	if err != nil {
-		return admission.Reply{}, err
+		return admission.BorrowReply{}, err
 	}
 	granted := reply.GetCreditReply()
 	if granted == nil {
-		return admission.Reply{}, failure.New(failure.WrongAnswer, "%s answered no credits", to)
+		return admission.BorrowReply{}, failure.New(failure.WrongAnswer, "%s answered no credits", to)
 	}
-	return routing.DecodeReply(granted), nil
+	return routing.DecodeBorrowReply(granted), nil
 }
 
-// serveCreditAsk answers another instance that asks for credits.
-func serveCreditAsk(ctx context.Context, router *routing.Router, from string, ask *peerpb.CreditAsk) (*peerpb.Reply, error) {
-	granted, err := router.Asked(ctx, from, routing.DecodeAsk(ask))
+// serveCreditAsk answers a borrow request of another instance.
+func serveCreditAsk(ctx context.Context, router *routing.Router, from string, request *peerpb.CreditAsk) (*peerpb.Reply, error) {
+	granted, err := router.HandleBorrowRequest(ctx, from, routing.DecodeBorrowRequest(request))
 	if err != nil {
 		return nil, err
 	}
-	return &peerpb.Reply{Body: &peerpb.Reply_CreditReply{CreditReply: routing.EncodeReply(granted)}}, nil
+	return &peerpb.Reply{Body: &peerpb.Reply_CreditReply{CreditReply: routing.EncodeBorrowReply(granted)}}, nil
 }
--- a/internal/app/softstate.go
+++ b/internal/app/softstate.go
@@ -72,7 +72,7 @@
 	if replica, ok := s.node.(logStatus); ok {
 		self.Identity = replica.Status().Identity
 	}
-	s.router.Describe(self)
+	s.router.AddSoftState(self)
 	return self
 }
 
--- a/internal/coordination/routing/admission/credit_test.go
+++ b/internal/coordination/routing/admission/credit_test.go
@@ -14,12 +14,12 @@
 	h := newHarness(0, 0)
 	view := View{Epoch: 2, Members: []string{"a", "z"}, Minions: []Minion{{ID: "m", Slots: slots, Services: []string{"s"}}}}
 	h.record(h.SetView(h.now, view))
-	h.Book().Confirm("z", 2, nil)
-	h.Book().Meet("z", nil)
+	h.Ledger().Confirm("z", 2, nil)
+	h.Ledger().Reconcile("z", nil)
 	return h, view
 }
 
-func TestCutOffStartsNothingAndSaysSoAtOnce(t *testing.T) {
+func TestCutOffInstanceRefusesAtOnce(t *testing.T) {
 	// An instance is cut off from the control log for longer than its state stays
 	// fresh. The configuration may have changed and its credits may belong to
 	// others: queued and new requests must be refused in the same event, requests
@@ -31,8 +31,8 @@
 		h.arrive("a", time.Minute, true)
 	}
 	h.arrive("a", time.Minute, true)
-	ask := h.lastBorrowRequest()
-	h.record(h.Replied(h.now, "z", Reply{Sequence: ask.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}, true))
+	request := h.lastBorrowRequest()
+	h.record(h.HandleBorrowReply(h.now, "z", BorrowReply{Sequence: request.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}, true))
 	is.Equal(len(h.started), 3) // the third uses the borrowed credit
 	waiting := h.arrive("a", time.Minute, true)
 
@@ -44,7 +44,7 @@
 		h.done(h.started[i], Answered)
 	}
 	is.Equal(len(h.started), 3)
-	is.Equal(h.Book().Borrowed(), 0) // the borrowed credit is returned, not reused
+	is.Equal(h.Ledger().Borrowed(), 0) // the borrowed credit is returned, not reused
 }
 
 func TestOwnCreditsAreUsedWhenNoLenderAnswers(t *testing.T) {
@@ -57,7 +57,7 @@
 		h.arrive("a", time.Minute, true)
 	}
 	for i := range 3 {
-		h.record(h.Replied(h.now, "z", Reply{Sequence: h.lastBorrowRequest().Sequence}, false))
+		h.record(h.HandleBorrowReply(h.now, "z", BorrowReply{Sequence: h.lastBorrowRequest().Sequence}, false))
 		h.now = h.now.Add(mean)
 		h.done(h.started[i], Answered)
 		h.record(h.Tick(h.now))
@@ -72,12 +72,12 @@
 	is := is.New(t)
 	lender := New(Config{Self: "z", QueueLength: 10}, 1)
 	lender.SetView(epoch, View{Epoch: 1, Members: []string{"z"}, Minions: []Minion{{ID: "m", Slots: 1, Services: []string{"s"}}}})
-	is.Equal(lender.Book().Lend("a", "m#0", 1), 1)
-	lender.Asked(epoch, "a", Ask{Incarnation: 1, Sequence: 9})
-	is.Equal(lender.Book().Account("m#0").Free(), 1)
-	is.Equal(lender.Book().Lend("a", "m#0", 1), 1)
-	lender.Asked(epoch, "a", Ask{Incarnation: 1, Sequence: 8})
-	is.Equal(lender.Book().Account("m#0").Free(), 0)
+	is.Equal(lender.Ledger().Lend("a", "m#0", 1), 1)
+	lender.HandleBorrowRequest(epoch, "a", BorrowRequest{Incarnation: 1, Sequence: 9})
+	is.Equal(lender.Ledger().Account("m#0").Free(), 1)
+	is.Equal(lender.Ledger().Lend("a", "m#0", 1), 1)
+	lender.HandleBorrowRequest(epoch, "a", BorrowRequest{Incarnation: 1, Sequence: 8})
+	is.Equal(lender.Ledger().Account("m#0").Free(), 0)
 }
 
 func TestReplyOfAReplacedProcessLendsNothing(t *testing.T) {
@@ -87,11 +87,11 @@
 	is := is.New(t)
 	h, _ := newPair(1)
 	h.overload(1)
-	ask := h.lastBorrowRequest()
-	h.record(h.Asked(h.now, "z", Ask{Incarnation: 7, Sequence: 1}))
-	late := Reply{Incarnation: 6, Sequence: ask.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}
-	h.record(h.Replied(h.now, "z", late, true))
-	is.Equal(h.Book().Borrowed(), 0)
+	request := h.lastBorrowRequest()
+	h.record(h.HandleBorrowRequest(h.now, "z", BorrowRequest{Incarnation: 7, Sequence: 1}))
+	late := BorrowReply{Incarnation: 6, Sequence: request.Sequence, Granted: []credit.Amount{{Resource: "m#0", Count: 1}}}
+	h.record(h.HandleBorrowReply(h.now, "z", late, true))
+	is.Equal(h.Ledger().Borrowed(), 0)
 }
 
 // overload queues more requests than this instance has credits for.
@@ -101,7 +101,9 @@
 	}
 }
 
-func (h *harness) lastBorrowRequest() Ask { return h.asks[len(h.asks)-1].Ask }
+func (h *harness) lastBorrowRequest() BorrowRequest {
+	return h.borrowRequests[len(h.borrowRequests)-1].Request
+}
 
 func TestCustomerLimitHoldsAcrossInstances(t *testing.T) {
 	// A customer may have three requests in flight across two instances that both
@@ -118,8 +120,8 @@
 			Customers: []Customer{{Name: "a", Weight: 1, MaxRequests: 3}},
 		}))
 		for _, other := range []string{"a", "z"} {
-			h.Book().Confirm(other, 1, nil)
-			h.Book().Meet(other, nil)
+			h.Ledger().Confirm(other, 1, nil)
+			h.Ledger().Reconcile(other, nil)
 		}
 		for range 5 {
 			h.arrive("a", time.Minute, true)
--- a/internal/coordination/routing/admission/loans.go
+++ b/internal/coordination/routing/admission/loans.go
@@ -68,9 +68,9 @@
 }
 
 type heldRequest struct {
-	from  string
-	ask   Ask
-	until time.Time
+	from    string
+	request BorrowRequest
+	until   time.Time
 }
 
 func newLoans(incarnation int64) loans {
@@ -176,14 +176,14 @@
 	l.pending = true
 	l.wantsCredits = len(wants) > 0
 	l.nextRequest = now.Add(max(minRequestInterval, p.loanInterval()))
-	ask := Ask{Incarnation: p.loans.incarnation, Sequence: l.sequence, Wants: wants, Holding: p.ledger.Holding(l.name)}
-	p.emit(SendAsk{To: l.name, Ask: ask})
+	request := BorrowRequest{Incarnation: p.loans.incarnation, Sequence: l.sequence, Wants: wants, Holding: p.ledger.Holding(l.name)}
+	p.emit(SendBorrowRequest{To: l.name, Request: request})
 }
 
-// Replied handles a lender's reply; ok is false when none arrived. A reply to an
-// older borrow request is discarded, and the next request tells the lender that
-// the credits are not held.
-func (p *Policy) Replied(now time.Time, from string, reply Reply, ok bool) []Action {
+// HandleBorrowReply handles a lender's reply; ok is false when none arrived. A
+// reply to an older borrow request is discarded, and the next request tells the
+// lender that the credits are not held.
+func (p *Policy) HandleBorrowReply(now time.Time, from string, reply BorrowReply, ok bool) []Action {
 	l := p.loans.lender(from)
 	if reply.Sequence != l.sequence || !l.pending {
 		return nil
@@ -191,7 +191,7 @@
 	l.pending = false
 	l.idle = 0
 	if ok {
-		p.ledger.Meet(from, reply.Owed)
+		p.ledger.Reconcile(from, reply.Owed)
 	}
 	// A reply from a lender's process that has since restarted grants nothing: the
 	// new process does not know of the loan.
@@ -207,19 +207,20 @@
 	return p.takeActions()
 }
 
-// Asked handles another instance's borrow request. It is answered at once if
-// credits can be lent or none are wanted; otherwise it is held for holdTimeout.
-func (p *Policy) Asked(now time.Time, from string, ask Ask) []Action {
+// HandleBorrowRequest handles another instance's borrow request. It is answered at
+// once if credits can be lent or none are wanted; otherwise it is held for
+// holdTimeout.
+func (p *Policy) HandleBorrowRequest(now time.Time, from string, request BorrowRequest) []Action {
 	last := p.loans.lastRequests[from]
-	if ask.Incarnation < last.incarnation || (ask.Incarnation == last.incarnation && ask.Sequence <= last.sequence) {
+	if request.Incarnation < last.incarnation || (request.Incarnation == last.incarnation && request.Sequence <= last.sequence) {
 		return nil
 	}
-	p.loans.lastRequests[from] = requestOrder{incarnation: ask.Incarnation, sequence: ask.Sequence}
+	p.loans.lastRequests[from] = requestOrder{incarnation: request.Incarnation, sequence: request.Sequence}
 	p.discardHeld(from)
-	p.ledger.SetLent(from, ask.Holding)
-	p.loans.held = append(p.loans.held, &heldRequest{from: from, ask: ask, until: now.Add(holdTimeout)})
+	p.ledger.SetLent(from, request.Holding)
+	p.loans.held = append(p.loans.held, &heldRequest{from: from, request: request, until: now.Add(holdTimeout)})
 	p.dispatchAll(now)
-	if len(ask.Wants) == 0 || p.view.CutOff || !contains(p.view.Members, from) {
+	if len(request.Wants) == 0 || p.view.CutOff || !contains(p.view.Members, from) {
 		p.answerHeld(from, nil)
 	}
 	return p.takeActions()
@@ -238,9 +239,9 @@
 func (p *Policy) answerHeld(from string, granted []credit.Amount) {
 	for _, held := range p.loans.held {
 		if held.from == from {
-			p.emit(SendReply{To: from, Reply: Reply{
+			p.emit(SendBorrowReply{To: from, Reply: BorrowReply{
 				Incarnation: p.loans.incarnation,
-				Sequence:    held.ask.Sequence,
+				Sequence:    held.request.Sequence,
 				Granted:     granted,
 				Owed:        p.ledger.Holding(from),
 				Idle:        p.idle(),
@@ -257,7 +258,7 @@
 	}
 	for _, held := range append([]*heldRequest(nil), p.loans.held...) {
 		var granted []credit.Amount
-		for _, want := range held.ask.Wants {
+		for _, want := range held.request.Wants {
 			granted = append(granted, p.grant(now, held.from, want)...)
 		}
 		if len(granted) > 0 {
--- a/internal/coordination/routing/admission/policy.go
+++ b/internal/coordination/routing/admission/policy.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Book returns the ledger of this instance's credits.
-func (p *Policy) Book() *credit.Ledger { return p.ledger }
+// Ledger returns the ledger of this instance's credits.
+func (p *Policy) Ledger() *credit.Ledger { return p.ledger }
 
 func minionResource(m *Minion) string { return m.ID + "#" + strconv.FormatInt(m.Incarnation, 10) }
 
--- a/internal/coordination/routing/admission/policy_test.go
+++ b/internal/coordination/routing/admission/policy_test.go
@@ -15,12 +15,12 @@
 // harness drives one policy and records its actions.
 type harness struct {
 	*Policy
-	now     time.Time
-	started []*Attempt
-	refused map[*Request]Refusal
-	results map[*Request]Result
-	asks    []SendAsk
-	replies []SendReply
+	now            time.Time
+	started        []*Attempt
+	refused        map[*Request]Refusal
+	results        map[*Request]Result
+	borrowRequests []SendBorrowRequest
+	replies        []SendBorrowReply
 }
 
 func newHarness(minions, slots int) *harness {
@@ -47,9 +47,9 @@
 			h.refused[a.Request] = a.Refusal
 		case Finish:
 			h.results[a.Request] = a.Result
-		case SendAsk:
-			h.asks = append(h.asks, a)
-		case SendReply:
+		case SendBorrowRequest:
+			h.borrowRequests = append(h.borrowRequests, a)
+		case SendBorrowReply:
 			h.replies = append(h.replies, a)
 		}
 	}
@@ -74,7 +74,7 @@
 	h.started = nil
 }
 
-func TestRetryOnlyWhatIsSafe(t *testing.T) {
+func TestRetriesOnlyWhenSafe(t *testing.T) {
 	// A request fails on its first minion. It may be retried only if it did not run
 	// or is idempotent; otherwise the caller gets the outcome and no second minion
 	// receives the request.
@@ -147,7 +147,7 @@
 	is.True(refusal.RetryAfter > 0)
 }
 
-func TestGivenUpAtOnceNotAtTheDeadline(t *testing.T) {
+func TestUnservableRequestsAreRefusedBeforeTheDeadline(t *testing.T) {
 	// Requests are queued with deadlines up to 99 s away when all minions disappear.
 	// They must be refused in the event that makes them unservable, not at their
 	// deadlines.
--- a/internal/coordination/routing/admission/types.go
+++ b/internal/coordination/routing/admission/types.go
@@ -162,24 +162,24 @@
 	Refusal Refusal
 }
 
-// SendAsk sends a borrow request to another instance.
-type SendAsk struct {
-	To  string
-	Ask Ask
+// SendBorrowRequest sends a borrow request to another instance.
+type SendBorrowRequest struct {
+	To      string
+	Request BorrowRequest
 }
 
-// SendReply sends the reply to another instance's borrow request.
-type SendReply struct {
+// SendBorrowReply sends the reply to another instance's borrow request.
+type SendBorrowReply struct {
 	To    string
-	Reply Reply
+	Reply BorrowReply
 }
 
-func (Start) action()     {}
-func (Cancel) action()    {}
-func (Finish) action()    {}
-func (Refuse) action()    {}
-func (SendAsk) action()   {}
-func (SendReply) action() {}
+func (Start) action()             {}
+func (Cancel) action()            {}
+func (Finish) action()            {}
+func (Refuse) action()            {}
+func (SendBorrowRequest) action() {}
+func (SendBorrowReply) action()   {}
 
 // Want is a number of credits wanted on any minion of a service or, if Resource
 // is set, on that resource.
@@ -189,9 +189,9 @@
 	Count    int
 }
 
-// Ask is a borrow request. It reports all credits held from the lender and the
-// additional credits wanted.
-type Ask struct {
+// BorrowRequest asks a lender for credits. It reports all credits held from the lender
+// and the additional credits wanted.
+type BorrowRequest struct {
 	// Incarnation and Sequence order the borrow requests of an instance across restarts.
 	Incarnation int64
 	Sequence    uint64
@@ -199,8 +199,8 @@
 	Holding     []credit.Amount
 }
 
-// Reply is the reply to a borrow request.
-type Reply struct {
+// BorrowReply is the lender's reply to a BorrowRequest.
+type BorrowReply struct {
 	// Incarnation identifies the lender's process.
 	Incarnation int64
 	Sequence    uint64
--- a/internal/coordination/routing/credit/ledger.go
+++ b/internal/coordination/routing/credit/ledger.go
@@ -224,11 +224,11 @@
 	l.acquireShares()
 }
 
-// Meet records what a member reports to have borrowed from an earlier process
+// Reconcile records what a member reports to have borrowed from an earlier process
 // of this instance. Only the first report of a member counts. Until every member
 // has reported, no credits are acquired: a lender that lost its loans in a
 // restart would use the same slots as its borrowers.
-func (l *Ledger) Meet(member string, owed []Amount) {
+func (l *Ledger) Reconcile(member string, owed []Amount) {
 	if l.reconciled[member] {
 		return
 	}
--- a/internal/coordination/routing/credit/model_test.go
+++ b/internal/coordination/routing/credit/model_test.go
@@ -215,7 +215,7 @@
 	for _, from := range m.nodes {
 		for _, to := range m.nodes {
 			if !from.isolated && !to.isolated {
-				to.ledger.Meet(from.name, from.ledger.Holding(to.name))
+				to.ledger.Reconcile(from.name, from.ledger.Holding(to.name))
 			}
 		}
 	}
--- a/internal/coordination/routing/creditmembers/creditmembers.go
+++ b/internal/coordination/routing/creditmembers/creditmembers.go
@@ -25,8 +25,8 @@
 	clockMargin = time.Second
 )
 
-// Keeper decides about changes of the members while its instance is the leader.
-type Keeper struct {
+// Tracker decides about changes of the members while its instance is the leader.
+type Tracker struct {
 	lease time.Duration
 	// missingSince and departedSince hold the times at which this leader first saw
 	// a member missing or an instance departed.
@@ -34,33 +34,33 @@
 	departedSince map[string]time.Time
 }
 
-// NewKeeper returns a keeper for leases of the given duration.
-func NewKeeper(lease time.Duration) *Keeper {
-	k := &Keeper{lease: lease}
-	k.Forget()
-	return k
+// NewTracker returns a tracker for leases of the given duration.
+func NewTracker(lease time.Duration) *Tracker {
+	t := &Tracker{lease: lease}
+	t.Reset()
+	return t
 }
 
-// Forget discards all observations. An instance that is not the leader, or has
+// Reset discards all observations. An instance that is not the leader, or has
 // just become it, starts all times again.
-func (k *Keeper) Forget() {
-	k.missingSince = map[string]time.Time{}
-	k.departedSince = map[string]time.Time{}
+func (t *Tracker) Reset() {
+	t.missingSince = map[string]time.Time{}
+	t.departedSince = map[string]time.Time{}
 }
 
 // Next returns the members of the next epoch, or nil if nothing changes. alive
 // are the instances heard from recently whose control state is fresh.
-func (k *Keeper) Next(now time.Time, current *controlpb.CreditMembers, alive []string) *controlpb.CreditMembers {
+func (t *Tracker) Next(now time.Time, current *controlpb.CreditMembers, alive []string) *controlpb.CreditMembers {
 	next := &controlpb.CreditMembers{Epoch: current.Epoch + 1}
 	for _, member := range current.Members {
 		switch {
 		case slices.Contains(alive, member):
-			delete(k.missingSince, member)
+			delete(t.missingSince, member)
 			next.Members = append(next.Members, member)
-		case sinceFirstSeen(k.missingSince, member, now) < removeAfter:
+		case sinceFirstSeen(t.missingSince, member, now) < removeAfter:
 			next.Members = append(next.Members, member)
 		default:
-			delete(k.missingSince, member)
+			delete(t.missingSince, member)
 			next.Departed = append(next.Departed, member)
 		}
 	}
@@ -70,11 +70,11 @@
 		}
 	}
 	for _, name := range current.Departed {
-		if !slices.Contains(next.Members, name) && sinceFirstSeen(k.departedSince, name, now) < k.lease+clockMargin {
+		if !slices.Contains(next.Members, name) && sinceFirstSeen(t.departedSince, name, now) < t.lease+clockMargin {
 			next.Departed = append(next.Departed, name)
 			continue
 		}
-		delete(k.departedSince, name)
+		delete(t.departedSince, name)
 	}
 	slices.Sort(next.Members)
 	slices.Sort(next.Departed)
--- a/internal/coordination/routing/creditmembers/creditmembers_test.go
+++ b/internal/coordination/routing/creditmembers/creditmembers_test.go
@@ -16,11 +16,11 @@
 	is := is.New(t)
 	const lease = 3 * time.Second
 	now := time.Unix(1000, 0)
-	keeper := NewKeeper(lease)
+	tracker := NewTracker(lease)
 	current := &controlpb.CreditMembers{Epoch: 4, Members: []string{"a", "b"}}
 	step := func(d time.Duration, alive ...string) *controlpb.CreditMembers {
 		now = now.Add(d)
-		next := keeper.Next(now, current, alive)
+		next := tracker.Next(now, current, alive)
 		if next != nil {
 			is.Equal(next.Epoch, current.Epoch+1)
 			current = next
@@ -31,7 +31,7 @@
 	is.True(step(2*time.Second, "a") == nil)
 	is.Equal(step(time.Second, "a").Departed, []string{"b"})
 	is.True(step(0, "a") == nil)
-	keeper.Forget() // a new leader measures the lease from the start
+	tracker.Reset() // a new leader measures the lease from the start
 	is.True(step(lease, "a") == nil)
 	is.True(step(lease, "a") == nil)
 	is.True(step(clockMargin, "a") != nil)
@@ -44,9 +44,9 @@
 	// A departed instance is alive again before its lease has expired. It joins the
 	// next epoch, which it must confirm like any other member.
 	is := is.New(t)
-	keeper := NewKeeper(time.Second)
+	tracker := NewTracker(time.Second)
 	current := &controlpb.CreditMembers{Epoch: 1, Members: []string{"a"}, Departed: []string{"b"}}
-	next := keeper.Next(time.Unix(1, 0), current, []string{"a", "b"})
+	next := tracker.Next(time.Unix(1, 0), current, []string{"a", "b"})
 	is.Equal(next.Members, []string{"a", "b"})
 	is.Equal(len(next.Departed), 0)
 }
--- a/internal/coordination/routing/dispatcher.go
+++ b/internal/coordination/routing/dispatcher.go
@@ -20,9 +20,9 @@
 	borrowTimeout = 250 * time.Millisecond
 )
 
-// Lenders sends borrow requests for credits to other instances.
-type Lenders interface {
-	Ask(ctx context.Context, to string, ask admission.Ask) (admission.Reply, error)
+// CreditLenders sends borrow requests for credits to other instances.
+type CreditLenders interface {
+	Borrow(ctx context.Context, to string, request admission.BorrowRequest) (admission.BorrowReply, error)
 }
 
 // dispatcher runs the policy. Events are passed to it under one lock; the
@@ -30,7 +30,7 @@
 type dispatcher struct {
 	now     func() time.Time
 	minions MinionClient
-	lenders Lenders
+	lenders CreditLenders
 	wake    chan struct{}
 
 	mu      sync.Mutex
@@ -58,10 +58,10 @@
 
 type heldBorrow struct {
 	sequence uint64
-	reply    chan admission.Reply
+	reply    chan admission.BorrowReply
 }
 
-func newDispatcher(config Config, minions MinionClient, lenders Lenders) *dispatcher {
+func newDispatcher(config Config, minions MinionClient, lenders CreditLenders) *dispatcher {
 	self := admission.Config{Self: config.Instance, QueueLength: config.QueueLength}
 	return &dispatcher{
 		now:     config.Now,
@@ -129,9 +129,9 @@
 		a.Request.Owner.(*waiter).done <- a.Result.Owner.(delivery)
 	case admission.Refuse:
 		a.Request.Owner.(*waiter).done <- delivery{err: refusalFailure(a.Request, a.Refusal)}
-	case admission.SendAsk:
-		go d.borrow(a.To, a.Ask)
-	case admission.SendReply:
+	case admission.SendBorrowRequest:
+		go d.borrow(a.To, a.Request)
+	case admission.SendBorrowReply:
 		d.reply(a.To, a.Reply)
 	}
 }
@@ -183,16 +183,16 @@
 	return admission.Unknown
 }
 
-func (d *dispatcher) borrow(to string, ask admission.Ask) {
+func (d *dispatcher) borrow(to string, request admission.BorrowRequest) {
 	ctx, cancel := context.WithTimeout(d.context, borrowTimeout)
 	defer cancel()
-	reply, err := d.lenders.Ask(ctx, to, ask)
+	reply, err := d.lenders.Borrow(ctx, to, request)
 	if err != nil {
-		reply = admission.Reply{Sequence: ask.Sequence}
+		reply = admission.BorrowReply{Sequence: request.Sequence}
 	}
 	asksSent.Add(1)
 	d.handle(func(p *admission.Policy, now time.Time) []admission.Action {
-		return p.Replied(now, to, reply, err == nil)
+		return p.HandleBorrowReply(now, to, reply, err == nil)
 	})
 }
 
@@ -200,23 +200,25 @@
 // hold the request for a short time before it replies. A request superseded by
 // a newer one from the same instance, or not answered within borrowTimeout,
 // fails with failure.StaleSequence.
-func (d *dispatcher) handleBorrowRequest(ctx context.Context, from string, ask admission.Ask) (admission.Reply, error) {
-	w := &heldBorrow{sequence: ask.Sequence, reply: make(chan admission.Reply, 1)}
+func (d *dispatcher) handleBorrowRequest(ctx context.Context, from string, request admission.BorrowRequest) (admission.BorrowReply, error) {
+	w := &heldBorrow{sequence: request.Sequence, reply: make(chan admission.BorrowReply, 1)}
 	d.mu.Lock()
 	d.replies[from] = w
 	d.mu.Unlock()
-	d.handle(func(p *admission.Policy, now time.Time) []admission.Action { return p.Asked(now, from, ask) })
+	d.handle(func(p *admission.Policy, now time.Time) []admission.Action {
+		return p.HandleBorrowRequest(now, from, request)
+	})
 	ctx, cancel := context.WithTimeout(ctx, borrowTimeout)
 	defer cancel()
 	select {
 	case reply := <-w.reply:
 		return reply, nil
 	case <-ctx.Done():
-		return admission.Reply{}, failure.Wrap(failure.StaleSequence, ctx.Err(), "borrow request %d was superseded or timed out", ask.Sequence)
+		return admission.BorrowReply{}, failure.Wrap(failure.StaleSequence, ctx.Err(), "borrow request %d was superseded or timed out", request.Sequence)
 	}
 }
 
-func (d *dispatcher) reply(to string, reply admission.Reply) {
+func (d *dispatcher) reply(to string, reply admission.BorrowReply) {
 	d.mu.Lock()
 	w := d.replies[to]
 	d.mu.Unlock()
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -75,7 +75,7 @@
 }
 
 // New returns a router. It refuses all requests until Run has read a view.
-func New(config Config, control Control, registry Registry, minions MinionClient, lenders Lenders) *Router {
+func New(config Config, control Control, registry Registry, minions MinionClient, lenders CreditLenders) *Router {
 	return &Router{
 		config:     config,
 		control:    control,
--- a/internal/coordination/routing/router_test.go
+++ b/internal/coordination/routing/router_test.go
@@ -43,8 +43,8 @@
 	return w.serve(ctx, address, call)
 }
 
-func (w *fakes) Ask(context.Context, string, admission.Ask) (admission.Reply, error) {
-	return admission.Reply{}, failure.New(failure.Unreachable, "peer unreachable")
+func (w *fakes) Borrow(context.Context, string, admission.BorrowRequest) (admission.BorrowReply, error) {
+	return admission.BorrowReply{}, failure.New(failure.Unreachable, "peer unreachable")
 }
 
 // withRouter runs a test against a running router with one minion of one slot.
--- a/internal/coordination/routing/send.go
+++ b/internal/coordination/routing/send.go
@@ -112,9 +112,9 @@
 // Run refreshes the view and drives queued requests until ctx is done.
 func (r *Router) Run(ctx context.Context) { r.dispatcher.run(ctx, r.refresh) }
 
-// Asked answers a borrow request for credits from another instance.
-func (r *Router) Asked(ctx context.Context, from string, ask admission.Ask) (admission.Reply, error) {
-	return r.dispatcher.handleBorrowRequest(ctx, from, ask)
+// HandleBorrowRequest answers a borrow request for credits from another instance.
+func (r *Router) HandleBorrowRequest(ctx context.Context, from string, request admission.BorrowRequest) (admission.BorrowReply, error) {
+	return r.dispatcher.handleBorrowRequest(ctx, from, request)
 }
 
 // refresh rebuilds the view and passes it to the policy if it changed.
--- a/internal/coordination/routing/softstate.go
+++ b/internal/coordination/routing/softstate.go
@@ -15,13 +15,13 @@
 	demandInterval = time.Second
 )
 
-// Describe adds to this instance's soft state the data that other instances
+// AddSoftState adds to this instance's soft state the data that other instances
 // need to share credits and rate limits: epoch, overhang and demands.
-func (r *Router) Describe(state *peerpb.InstanceState) {
+func (r *Router) AddSoftState(state *peerpb.InstanceState) {
 	d := r.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	ledger := d.policy.Book()
+	ledger := d.policy.Ledger()
 	state.CreditEpoch = ledger.Epoch()
 	state.CreditOverhang = EncodeAmounts(ledger.Overhang())
 	for _, demand := range d.demands {
@@ -46,7 +46,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.policy.Book().Confirm(state.Name, state.CreditEpoch, DecodeAmounts(state.CreditOverhang))
+	d.policy.Ledger().Confirm(state.Name, state.CreditEpoch, DecodeAmounts(state.CreditOverhang))
 	d.policy.SetDemands(state.Name, reported)
 }
 
--- a/internal/coordination/routing/wire.go
+++ b/internal/coordination/routing/wire.go
@@ -28,27 +28,27 @@
 // maxCount is the upper bound of a count received from another instance.
 const maxCount = 1 << 20
 
-// EncodeAsk converts a borrow request to its wire form.
-func EncodeAsk(ask admission.Ask) *peerpb.CreditAsk {
-	encoded := &peerpb.CreditAsk{Boot: ask.Incarnation, Sequence: ask.Sequence, Holding: EncodeAmounts(ask.Holding)}
-	for _, want := range ask.Wants {
+// EncodeBorrowRequest converts a borrow request to its wire form.
+func EncodeBorrowRequest(request admission.BorrowRequest) *peerpb.CreditAsk {
+	encoded := &peerpb.CreditAsk{Boot: request.Incarnation, Sequence: request.Sequence, Holding: EncodeAmounts(request.Holding)}
+	for _, want := range request.Wants {
 		encoded.Wants = append(encoded.Wants, &peerpb.CreditWant{Service: want.Service, Resource: want.Resource, Count: uint32(want.Count)})
 	}
 	return encoded
 }
 
-// DecodeAsk converts a borrow request from its wire form. Counts are capped at
-// maxCount.
-func DecodeAsk(ask *peerpb.CreditAsk) admission.Ask {
-	decoded := admission.Ask{Incarnation: ask.Boot, Sequence: ask.Sequence, Holding: DecodeAmounts(ask.Holding)}
-	for _, want := range ask.Wants {
+// DecodeBorrowRequest converts a borrow request from its wire form. Counts are
+// capped at maxCount.
+func DecodeBorrowRequest(request *peerpb.CreditAsk) admission.BorrowRequest {
+	decoded := admission.BorrowRequest{Incarnation: request.Boot, Sequence: request.Sequence, Holding: DecodeAmounts(request.Holding)}
+	for _, want := range request.Wants {
 		decoded.Wants = append(decoded.Wants, admission.Want{Service: want.Service, Resource: want.Resource, Count: int(min(want.Count, maxCount))})
 	}
 	return decoded
 }
 
-// EncodeReply converts the reply to a borrow request to its wire form.
-func EncodeReply(reply admission.Reply) *peerpb.CreditReply {
+// EncodeBorrowReply converts the reply to a borrow request to its wire form.
+func EncodeBorrowReply(reply admission.BorrowReply) *peerpb.CreditReply {
 	return &peerpb.CreditReply{
 		Boot:     reply.Incarnation,
 		Sequence: reply.Sequence,
@@ -58,10 +58,10 @@
 	}
 }
 
-// DecodeReply converts the reply to a borrow request from its wire form. Counts
+// DecodeBorrowReply converts the reply to a borrow request from its wire form. Counts
 // are capped at maxCount.
-func DecodeReply(reply *peerpb.CreditReply) admission.Reply {
-	return admission.Reply{
+func DecodeBorrowReply(reply *peerpb.CreditReply) admission.BorrowReply {
+	return admission.BorrowReply{
 		Incarnation: reply.Boot,
 		Sequence:    reply.Sequence,
 		Granted:     DecodeAmounts(reply.Granted),
--- a/internal/experiment/slots/credits.go
+++ b/internal/experiment/slots/credits.go
@@ -67,8 +67,8 @@
 func (w *credits) settle(view admission.View) {
 	for i, policy := range w.policies {
 		for _, member := range view.Members {
-			policy.Book().Confirm(member, view.Epoch, nil)
-			policy.Book().Meet(member, nil)
+			policy.Ledger().Confirm(member, view.Epoch, nil)
+			policy.Ledger().Reconcile(member, nil)
 		}
 		w.perform(i, policy.SetView(w.time(), view))
 	}
@@ -114,23 +114,23 @@
 		w.answer(a.Request.Owner.(*request))
 	case admission.Refuse:
 		w.result.Refused++
-	case admission.SendAsk:
-		w.ask(i, w.names[a.To], a.Ask)
-	case admission.SendReply:
+	case admission.SendBorrowRequest:
+		w.ask(i, w.names[a.To], a.Request)
+	case admission.SendBorrowReply:
 		w.result.Messages++
 		to := w.names[a.To]
 		w.after(w.config.Hop, func() {
-			w.perform(to, w.policies[to].Replied(w.time(), fmt.Sprintf("i%d", i), a.Reply, true))
+			w.perform(to, w.policies[to].HandleBorrowReply(w.time(), fmt.Sprintf("i%d", i), a.Reply, true))
 		})
 	}
 }
 
-func (w *credits) ask(from, to int, ask admission.Ask) {
+func (w *credits) ask(from, to int, ask admission.BorrowRequest) {
 	if !w.loans {
 		return
 	}
 	w.result.Messages++
 	w.after(w.config.Hop, func() {
-		w.perform(to, w.policies[to].Asked(w.time(), fmt.Sprintf("i%d", from), ask))
+		w.perform(to, w.policies[to].HandleBorrowRequest(w.time(), fmt.Sprintf("i%d", from), ask))
 	})
 }
