--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -39,7 +39,7 @@
 	commands dispatch.Workers
 	registry dispatch.Registry
 	// keeper renews the leases; nil where workers do so by their announcements.
-	keeper  *leases.Keeper
+	keeper  *leases.Manager
 	wakeups chan struct{}
 	// term is nil with keeper.
 	term func() uint64
@@ -60,7 +60,7 @@
 		Wake:           w.wake,
 		Logger:         logger,
 	}
-	w.keeper = leases.NewKeeper(config, log, registry, platform.NewWorkers(share, logger))
+	w.keeper = leases.NewManager(config, log, registry, platform.NewWorkers(share, logger))
 	w.commands, w.registry = w.keeper, w.keeper
 	w.term = log.Term
 	return w
@@ -78,7 +78,7 @@
 	if w.keeper == nil {
 		return nil
 	}
-	return w.keeper.LeaseOver
+	return w.keeper.LeaseExpired
 }
 
 // speeds is nil where workers renew leases themselves: they report no progress.
--- a/internal/coordination/dispatch/leases/cancelled_test.go
+++ b/internal/coordination/dispatch/leases/cancelled_test.go
@@ -18,8 +18,8 @@
 
 // Guards against a start with an empty specification: the workflow was cancelled while
 // the start was queued.
-func TestStartThatACancellationOvertakesIsNotSent(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestStartIsNotSentAfterCancellation(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		c.apply(&controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: "w"}}})
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.Equal(c.started, nil)
@@ -30,7 +30,7 @@
 // Guards against starts that cannot be traced because the log does not say what they
 // carried or why they were withheld.
 func TestStartIsLoggedWithItsParameters(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		output := &bytes.Buffer{}
 		m.config.Logger.SetOutput(output)
 		_, err := sendCommand(m, api.PathTaskStart)
@@ -56,8 +56,8 @@
 
 // Another task of the workflow fails permanently while a start is queued. Like a
 // cancelled workflow, the failed one no longer has its specification.
-func TestStartThatTheWorkflowsFailureOvertakesIsNotSent(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestStartIsNotSentAfterWorkflowFailure(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		failing := &controlpb.Job{
 			Id: "w.0.0.1", Workflow: "w", Tasks: 1, FirstTask: 1, Epoch: 1, State: controlpb.JobState_JOB_STATE_STOPPING,
 			Placements: []*controlpb.Placement{{Worker: "i-1", Incarnation: 1}},
@@ -74,7 +74,7 @@
 
 // Guards against a start that is sent after a cancellation, or by an instance that is
 // no longer the leader.
-func TestStartThatIsOvertakenWhileItAwaitsALookIsNotSent(t *testing.T) {
+func TestStartIsNotSentIfSupersededDuringFirstPoll(t *testing.T) {
 	for name, supersede := range map[string]func(c *fakeCluster){
 		"cancelled": func(c *fakeCluster) {
 			c.apply(&controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: "w"}}})
@@ -102,8 +102,8 @@
 
 // A stop of run 1 is queued until the job has been placed again on another worker. It
 // must not be sent to the worker of run 2.
-func TestOrderOfAnEarlierRunGoesToNoOtherWorker(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestCommandOfEarlierRunIsNotSentToOtherWorker(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		rescheduled := placedState()
 		job, _ := rescheduled.Job("w.0.0.0")
 		job.Epoch = 2
--- a/internal/coordination/dispatch/leases/client.go
+++ b/internal/coordination/dispatch/leases/client.go
@@ -4,7 +4,7 @@
 // reports into the announcements on which dispatch bases its decisions.
 //
 // Tracker is pure: it takes reports and commands and derives what is known about one
-// worker. Keeper owns the connections and clocks, with one Tracker per worker.
+// worker. Manager owns the connections and clocks, with one Tracker per worker.
 package leases
 
 import (
@@ -20,8 +20,8 @@
 	Address string
 }
 
-// Look is a poll request: it asks a worker what is running there.
-type Look struct {
+// Poll is a poll request: it asks a worker what is running there.
+type Poll struct {
 	// Token is the fencing token. Once the worker has seen it, it rejects lower tokens.
 	Token uint64
 	// Acknowledged is the number of the newest end that the worker may discard.
@@ -51,21 +51,21 @@
 	Percent uint32
 }
 
-// How is the way in which a run ended.
-type How int
+// Outcome is the way in which a run ended.
+type Outcome int
 
 // The ways in which a run can end.
 const (
-	Done How = iota + 1
+	Done Outcome = iota + 1
 	// Failed runs ended through a fault of the task or of the worker.
 	Failed
 	Stopped
-	// Lapsed runs ended because their lease expired.
-	Lapsed
-	// Broken runs ended because another member of their gang ended.
-	Broken
-	// Alone runs timed out waiting for the other members of their gang.
-	Alone
+	// LeaseExpired runs ended because their lease expired.
+	LeaseExpired
+	// GangBroken runs ended because another member of their gang ended.
+	GangBroken
+	// GangTimedOut runs timed out waiting for the other members of their gang.
+	GangTimedOut
 )
 
 // End records how one run ended. A worker keeps it in its reports until it is
@@ -75,7 +75,7 @@
 	Number     uint64
 	Task       string
 	Run        uint64
-	How        How
+	Outcome    Outcome
 	Checkpoint string
 }
 
@@ -103,7 +103,7 @@
 // answers at the address; stale_epoch means that a newer token or run supersedes the
 // request.
 type Client interface {
-	Look(ctx context.Context, target Target, request Look) (*Report, error)
+	Poll(ctx context.Context, target Target, request Poll) (*Report, error)
 	Start(ctx context.Context, target Target, start Start) (clock int64, err error)
 	Stop(ctx context.Context, target Target, stop Stop) (clock int64, err error)
 }
--- a/internal/coordination/dispatch/leases/cluster_test.go
+++ b/internal/coordination/dispatch/leases/cluster_test.go
@@ -94,12 +94,12 @@
 }
 
 // end ends the run of the placed task in the given way.
-func (c *fakeCluster) end(how How) {
+func (c *fakeCluster) end(outcome Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.running, "w.0.0.0")
 	c.endCount++
-	c.ends = append(c.ends, End{Number: c.endCount, Task: "w.0.0.0", Run: 1, How: how})
+	c.ends = append(c.ends, End{Number: c.endCount, Task: "w.0.0.0", Run: 1, Outcome: outcome})
 }
 
 var worker = &peerpb.Upstream{Id: "i-1", Kind: peerpb.UpstreamKind_UPSTREAM_KIND_WORKER, Address: "a", Incarnation: 1, Version: 1}
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (c *fakeCluster) Look(ctx context.Context, _ Target, request Look) (*Report, error) {
+func (c *fakeCluster) Poll(ctx context.Context, _ Target, request Poll) (*Report, error) {
 	if err := c.deliver(ctx, request.Token); err != nil {
 		return nil, err
 	}
@@ -180,7 +180,7 @@
 	if c.running[stop.Task] == stop.Run {
 		delete(c.running, stop.Task)
 		c.endCount++
-		c.ends = append(c.ends, End{Number: c.endCount, Task: stop.Task, Run: stop.Run, How: Stopped, Checkpoint: "kept"})
+		c.ends = append(c.ends, End{Number: c.endCount, Task: stop.Task, Run: stop.Run, Outcome: Stopped, Checkpoint: "kept"})
 	}
 	return c.clock(), nil
 }
@@ -202,10 +202,10 @@
 	return store.Restore(&controlpb.Snapshot{Jobs: append(further, job), Workflows: []*controlpb.Workflow{{Id: "w", Specification: "s"}}})
 }
 
-func startManager(t *testing.T, c *fakeCluster) *Keeper {
+func startManager(t *testing.T, c *fakeCluster) *Manager {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	m := NewKeeper(Config{Lease: lease, FreshnessBound: time.Second, Now: time.Now, Wake: func() {}, Logger: logger}, c, c, c)
+	m := NewManager(Config{Lease: lease, FreshnessBound: time.Second, Now: time.Now, Wake: func() {}, Logger: logger}, c, c, c)
 	ctx, cancel := context.WithCancel(context.Background())
 	go m.Run(ctx)
 	t.Cleanup(func() {
@@ -216,13 +216,13 @@
 	return m
 }
 
-func sendCommand(m *Keeper, path string) (*api.TaskAnswer, error) {
+func sendCommand(m *Manager, path string) (*api.TaskAnswer, error) {
 	command := &api.TaskCommand{TaskRef: api.TaskRef{Job: "w.0.0.0", Epoch: 1}, Incarnation: 1}
 	return m.Command(context.Background(), "", path, command)
 }
 
 // withManager runs a test in a synctest bubble with a manager and one placed task.
-func withManager(t *testing.T, test func(is *is.I, c *fakeCluster, m *Keeper)) {
+func withManager(t *testing.T, test func(is *is.I, c *fakeCluster, m *Manager)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newFakeCluster(placedState())
 		test(is.New(t), c, startManager(t, c))
--- a/internal/coordination/dispatch/leases/command.go
+++ b/internal/coordination/dispatch/leases/command.go
@@ -38,7 +38,7 @@
 var startLatency = latency.New("leases_start")
 
 // Command implements dispatch.Workers.
-func (m *Keeper) Command(ctx context.Context, _, path string, command *api.TaskCommand) (*api.TaskAnswer, error) {
+func (m *Manager) Command(ctx context.Context, _, path string, command *api.TaskCommand) (*api.TaskAnswer, error) {
 	state := m.log.State()
 	job, ok := state.Job(command.Job)
 	if !ok {
@@ -178,7 +178,7 @@
 
 // withhold logs and counts a command that is not sent because its job's state has
 // changed.
-func (m *Keeper) withhold(state *store.State, job *controlpb.Job, path string, command *api.TaskCommand) error {
+func (m *Manager) withhold(state *store.State, job *controlpb.Job, path string, command *api.TaskCommand) error {
 	commandsWithheld.Add(1)
 	m.config.Logger.WithFields(logrus.Fields{
 		"order": path, "task": store.TaskName(job, command.Task), "run": command.Epoch,
@@ -250,7 +250,7 @@
 	defer s.mu.Unlock()
 	answer := &api.TaskAnswer{Incarnation: incarnation}
 	if status, end := s.tracker.Find(stop.Task, stop.Run); status == Ended {
-		answer.Phase, answer.Checkpoint = phases[end.How], end.Checkpoint
+		answer.Phase, answer.Checkpoint = phases[end.Outcome], end.Checkpoint
 	}
 	return answer
 }
@@ -284,10 +284,10 @@
 }
 
 // plainPoll returns a poll that neither extends the lease nor waits.
-func (s *session) plainPoll() Look {
+func (s *session) plainPoll() Poll {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return Look{Token: s.token, Acknowledged: s.tracker.acked}
+	return Poll{Token: s.token, Acknowledged: s.tracker.acked}
 }
 
 // stopResult returns the status of a stopped run, the answer if the latest report
@@ -300,7 +300,7 @@
 	status, end := s.tracker.Find(stop.Task, stop.Run)
 	switch {
 	case status == Ended:
-		return status, &api.TaskAnswer{Phase: phases[end.How], Checkpoint: end.Checkpoint}, nil
+		return status, &api.TaskAnswer{Phase: phases[end.Outcome], Checkpoint: end.Checkpoint}, nil
 	case status == Absent && s.tracker.ReportClock() > clock:
 		return status, &api.TaskAnswer{}, nil
 	}
@@ -322,11 +322,11 @@
 	}
 }
 
-var phases = map[How]string{
-	Done:    api.PhaseCompleted,
-	Failed:  api.PhaseFailed,
-	Stopped: api.PhaseStopped,
-	Lapsed:  api.PhaseStopped,
-	Broken:  api.PhaseStopped,
-	Alone:   api.PhaseStopped,
+var phases = map[Outcome]string{
+	Done:         api.PhaseCompleted,
+	Failed:       api.PhaseFailed,
+	Stopped:      api.PhaseStopped,
+	LeaseExpired: api.PhaseStopped,
+	GangBroken:   api.PhaseStopped,
+	GangTimedOut: api.PhaseStopped,
 }
--- a/internal/coordination/dispatch/leases/departure_test.go
+++ b/internal/coordination/dispatch/leases/departure_test.go
@@ -12,8 +12,8 @@
 
 // Guards against running a completed task again because its worker departed right after
 // the end.
-func TestEndBeforeADepartureCounts(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestEndBeforeDepartureIsReported(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		c.end(Done)
@@ -33,14 +33,14 @@
 
 // The same for a worker that becomes unresponsive after it has reported the end: its
 // lease expires, and the task must not be started elsewhere.
-func TestEndBeforeASilenceCounts(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestEndBeforeUnresponsivenessIsReported(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		c.end(Done)
 		time.Sleep(2 * pollWait)
 		c.set(func() { c.partitioned = true })
-		for !m.LeaseOver("i-1") {
+		for !m.LeaseExpired("i-1") {
 			time.Sleep(100 * time.Millisecond)
 		}
 		views := m.Live(worker.Kind)
@@ -51,7 +51,7 @@
 
 // A departed worker without uncommitted ends is not listed.
 func TestDepartedWorkerIsNotListed(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		c.set(func() { c.departed = true })
--- a/internal/coordination/dispatch/leases/instance_model_test.go
+++ b/internal/coordination/dispatch/leases/instance_model_test.go
@@ -53,7 +53,7 @@
 	confirmedAt time.Time
 	// unreachable holds the workers that the instance cannot reach.
 	unreachable map[string]bool
-	manager     *leases.Keeper
+	manager     *leases.Manager
 	dispatcher  *dispatch.Dispatcher
 	actingTerm  uint64
 }
@@ -63,7 +63,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	config := leases.Config{Lease: leaseDuration, FreshnessBound: freshnessBound, Now: time.Now, Wake: func() {}, Logger: logger}
-	i.manager = leases.NewKeeper(config, i, i, i)
+	i.manager = leases.NewManager(config, i, i, i)
 	i.dispatcher = dispatch.New(dispatch.Config{
 		Gang:      gang.Config{Lease: leaseDuration, FreshnessBound: freshnessBound, AnnounceEvery: 500 * time.Millisecond, CommandTimeout: 2 * time.Second},
 		LeaseOver: i.leaseExpired,
@@ -78,7 +78,7 @@
 	if i.simulation.fault == assumeLeaseExpired {
 		return true
 	}
-	return i.manager.LeaseOver(worker)
+	return i.manager.LeaseExpired(worker)
 }
 
 // isolatedFromLog reports whether the instance receives nothing from the log.
--- a/internal/coordination/dispatch/leases/manager.go
+++ b/internal/coordination/dispatch/leases/manager.go
@@ -57,7 +57,7 @@
 	commandsWithheld = expvar.NewInt("leases_orders_withheld")
 )
 
-// Log is the part of the replicated log that Keeper uses.
+// Log is the part of the replicated log that Manager uses.
 type Log interface {
 	State() *store.State
 	Fresh() error
@@ -73,7 +73,7 @@
 	Live(kind peerpb.UpstreamKind) []*peerpb.Upstream
 }
 
-// Config configures a Keeper.
+// Config configures a Manager.
 type Config struct {
 	// Lease is how long runs continue without a renewal.
 	Lease time.Duration
@@ -86,8 +86,8 @@
 	Logger *logrus.Logger
 }
 
-// Keeper manages the leases of all workers while this instance is the leader.
-type Keeper struct {
+// Manager manages the leases of all workers while this instance is the leader.
+type Manager struct {
 	config      Config
 	log         Log
 	registry    Registry
@@ -106,13 +106,13 @@
 	loggedSpeeds map[string]float64
 }
 
-// NewKeeper returns a Keeper that sends commands through client.
-func NewKeeper(config Config, log Log, registry Registry, client Client) *Keeper {
-	return &Keeper{config: config, log: log, registry: registry, client: client, sessions: map[string]*session{}, loggedSpeeds: map[string]float64{}}
+// NewManager returns a Manager that sends commands through client.
+func NewManager(config Config, log Log, registry Registry, client Client) *Manager {
+	return &Manager{config: config, log: log, registry: registry, client: client, sessions: map[string]*session{}, loggedSpeeds: map[string]float64{}}
 }
 
 // Run maintains the sessions with the workers until ctx is cancelled.
-func (m *Keeper) Run(ctx context.Context) {
+func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (m *Keeper) refresh(ctx context.Context) {
+func (m *Manager) refresh(ctx context.Context) {
 	term := m.log.Term()
 	if !m.log.IsLeader() || term != m.log.Term() {
 		m.closeAll()
@@ -151,7 +151,7 @@
 
 // closeDeparted closes the sessions with workers that no longer announce themselves, as
 // soon as a new session would have the same information.
-func (m *Keeper) closeDeparted(live []*peerpb.Upstream) {
+func (m *Manager) closeDeparted(live []*peerpb.Upstream) {
 	if len(m.sessions) == len(live) {
 		return
 	}
@@ -169,7 +169,7 @@
 
 // openSession opens a session. The previous leader may have sent commands until its
 // leadership confirmation expired, so the lease is counted from that time.
-func (m *Keeper) openSession(ctx context.Context, worker *peerpb.Upstream) *session {
+func (m *Manager) openSession(ctx context.Context, worker *peerpb.Upstream) *session {
 	until := m.leaderSince.Add(m.config.FreshnessBound)
 	s := &session{
 		manager:      m,
@@ -187,21 +187,21 @@
 	return s
 }
 
-func (m *Keeper) closeAll() {
+func (m *Manager) closeAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.closeSessions()
 	m.term = 0
 }
 
-func (m *Keeper) closeSessions() {
+func (m *Manager) closeSessions() {
 	for id, s := range m.sessions {
 		s.cancel()
 		delete(m.sessions, id)
 	}
 }
 
-func (m *Keeper) session(worker string) *session {
+func (m *Manager) session(worker string) *session {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sessions[worker]
@@ -209,7 +209,7 @@
 
 // checkLeadership returns an error unless this instance is confirmed to be the leader
 // under the token.
-func (m *Keeper) checkLeadership(token uint64) error {
+func (m *Manager) checkLeadership(token uint64) error {
 	if !m.log.IsLeader() || m.log.Term() != token {
 		return failure.New(failure.NotReady, "this instance is not the leader")
 	}
@@ -217,7 +217,7 @@
 }
 
 // recordRates records the progress rates of gang members on a worker.
-func (m *Keeper) recordRates(worker string, rates []rate) {
+func (m *Manager) recordRates(worker string, rates []rate) {
 	if len(rates) == 0 {
 		return
 	}
@@ -229,7 +229,7 @@
 }
 
 // Speeds returns the known worker speeds, relative to the median worker.
-func (m *Keeper) Speeds() map[string]float64 {
+func (m *Manager) Speeds() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if now := m.config.Now(); now.Sub(m.fittedAt) >= speedFitInterval {
@@ -240,7 +240,7 @@
 }
 
 // logSpeeds logs the workers whose speed has become known or has changed.
-func (m *Keeper) logSpeeds() {
+func (m *Manager) logSpeeds() {
 	for worker, speed := range m.speeds {
 		if math.Abs(speed-m.loggedSpeeds[worker]) >= minLoggedSpeedChange {
 			m.loggedSpeeds[worker] = speed
@@ -255,13 +255,13 @@
 }
 
 // Get implements dispatch.Registry.
-func (m *Keeper) Get(id string) (*peerpb.Upstream, bool) { return m.registry.Get(id) }
+func (m *Manager) Get(id string) (*peerpb.Upstream, bool) { return m.registry.Get(id) }
 
 // Live lists the responsive workers and the runs on them. A worker that has not been
 // polled under this token yet is marked as leaving, so that it gets no new work. An
 // unresponsive worker is omitted once its lease has expired, unless it has ends that
 // are not committed.
-func (m *Keeper) Live(kind peerpb.UpstreamKind) []*peerpb.Upstream {
+func (m *Manager) Live(kind peerpb.UpstreamKind) []*peerpb.Upstream {
 	if kind != peerpb.UpstreamKind_UPSTREAM_KIND_WORKER {
 		return m.registry.Live(kind)
 	}
@@ -277,14 +277,14 @@
 	return views
 }
 
-// LeaseOver reports whether nothing can still run on the worker although it has not
+// LeaseExpired reports whether nothing can still run on the worker although it has not
 // reported so: its lease has expired even with the maximum clock lag, or another
 // incarnation has replaced it.
 //
 // It returns false until the manager has adopted the newest term: its times are then
 // those of an earlier leadership of this instance, and other leaders may have extended
 // leases since.
-func (m *Keeper) LeaseOver(worker string) bool {
+func (m *Manager) LeaseExpired(worker string) bool {
 	term := m.log.Term()
 	m.mu.Lock()
 	s := m.sessions[worker]
--- a/internal/coordination/dispatch/leases/manager_test.go
+++ b/internal/coordination/dispatch/leases/manager_test.go
@@ -13,8 +13,8 @@
 
 // Guards against abandoning a gang because an idle worker counts as unresponsive while
 // it answers its first command.
-func TestIdleWorkerIsNotLostWhileItAnswersAStart(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestIdleWorkerIsListedDuringStart(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		time.Sleep(time.Minute)
 		c.set(func() { c.delay = 10 * time.Millisecond })
 		done := make(chan error, 1)
@@ -31,16 +31,16 @@
 // Guards against starting a run elsewhere before the lease of the partitioned worker
 // has expired.
 func TestPartitionedWorkerIsListedUntilItsLeaseExpires(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		time.Sleep(10 * time.Second)
 		is.Equal(len(m.Live(worker.Kind)), 1)
-		is.True(!m.LeaseOver("i-1"))
+		is.True(!m.LeaseExpired("i-1"))
 		c.set(func() { c.partitioned = true })
 		time.Sleep(2*pollWait + pollMargin + reserveTimeout)
 		is.True(m.Live(worker.Kind)[0].Leaving)
-		for !m.LeaseOver("i-1") {
+		for !m.LeaseExpired("i-1") {
 			is.Equal(len(m.Live(worker.Kind)), 1)
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -51,8 +51,8 @@
 
 // A stop arrives before the start that it refers to, which the network delayed. The
 // worker reports no such run, and rejects the start when it arrives.
-func TestStopOfARunThatNeverCame(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestStopOfUnknownRunRejectsLaterStart(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		answer, err := sendCommand(m, api.PathTaskStop)
 		is.NoErr(err)
 		is.Equal(answer.Phase, "")
@@ -64,7 +64,7 @@
 // A running task is stopped: the answer waits for the end of the run, which names the
 // checkpoint to resume from.
 func TestStopReturnsCheckpointOfEndedRun(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		answer, err := sendCommand(m, api.PathTaskStop)
@@ -77,19 +77,19 @@
 // Another incarnation answers at the worker's address: the runs of the previous one
 // have ended, and no lease needs to expire first.
 func TestReplacedWorkerProcessEndsLeaseImmediately(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		c.set(func() { c.replaced = true })
 		time.Sleep(2 * pollWait)
-		is.True(m.LeaseOver("i-1"))
+		is.True(m.LeaseExpired("i-1"))
 		is.Equal(len(m.Live(worker.Kind)), 0)
 	})
 }
 
 // A leader that has lost its leadership, or cannot confirm it, sends no commands.
 func TestNoCommandWithoutConfirmedLeadership(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		c.set(func() { c.fresh = false })
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.True(failure.Is(err, failure.StaleState))
@@ -99,22 +99,22 @@
 
 // Guards against two concurrent runs of a task caused by lease times left from an
 // earlier leadership of the same instance.
-func TestWaitsOfAnEarlierLeadershipSayNothing(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestLeaseTimesOfEarlierTermAreIgnored(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		c.set(func() { c.leader = false })
 		time.Sleep(time.Hour)
 		c.set(func() { c.term = 3; c.leader = true })
-		is.True(!m.LeaseOver("i-2"))
-		is.True(!m.LeaseOver("i-1"))
+		is.True(!m.LeaseExpired("i-2"))
+		is.True(!m.LeaseExpired("i-1"))
 		time.Sleep(4 * refreshInterval)
-		is.True(!m.LeaseOver("i-2"))
+		is.True(!m.LeaseExpired("i-2"))
 	})
 }
 
 // Guards against a worker that counts as lost for the rest of the leader's term after
 // one failed poll.
-func TestIdleWorkerThatWasOutOfReachIsBack(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestIdleWorkerIsListedAgainAfterPartition(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		c.set(func() { c.partitioned = true })
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.True(err != nil)
@@ -127,7 +127,7 @@
 }
 
 // Guards against a start whose lease is computed before the worker's clock is known.
-func TestStartWaitsForTheFirstLook(t *testing.T) {
+func TestStartWaitsForFirstPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newFakeCluster(placedState())
--- a/internal/coordination/dispatch/leases/network_model_test.go
+++ b/internal/coordination/dispatch/leases/network_model_test.go
@@ -87,8 +87,8 @@
 	return deadline
 }
 
-// Look implements leases.Client.
-func (i *instance) Look(ctx context.Context, target leases.Target, request leases.Look) (*leases.Report, error) {
+// Poll implements leases.Client.
+func (i *instance) Poll(ctx context.Context, target leases.Target, request leases.Poll) (*leases.Report, error) {
 	request.Deadline = i.applyLeaseFault(request.Deadline)
 	report, err := deliver(ctx, i, target.Worker, func(b *workerProcess, now time.Time) (*leases.Report, error) {
 		if err := b.checkToken(request.Token); err != nil {
@@ -107,7 +107,7 @@
 }
 
 // longPoll returns the response of a worker that waits for an end.
-func (i *instance) longPoll(worker string, request leases.Look, report *leases.Report) *leases.Report {
+func (i *instance) longPoll(worker string, request leases.Poll, report *leases.Report) *leases.Report {
 	const step = 100 * time.Millisecond
 	sim := i.simulation
 	for waited := time.Duration(0); waited < request.Wait && len(report.Ends) == 0; waited += step {
--- a/internal/coordination/dispatch/leases/partition_test.go
+++ b/internal/coordination/dispatch/leases/partition_test.go
@@ -12,13 +12,13 @@
 
 // Guards against two concurrent runs of a task: a firewall that refuses connections
 // must not be taken for a crash of the worker.
-func TestRefusedConnectionsAreNoCrash(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestRefusedConnectionsAreNotTakenForCrash(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		time.Sleep(10 * time.Second)
 		c.set(func() { c.refusesConnections = true })
-		for !m.LeaseOver("i-1") {
+		for !m.LeaseExpired("i-1") {
 			time.Sleep(10 * time.Millisecond)
 		}
 		is.True(c.clock() > c.lease)
@@ -27,8 +27,8 @@
 
 // Guards against stopping a gang needlessly because of a partition that is shorter than
 // its lease.
-func TestRunsOutliveACutThatIsShorterThanTheirLease(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestRunsSurvivePartitionShorterThanLease(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		time.Sleep(10 * time.Second)
@@ -44,7 +44,7 @@
 		time.Sleep(2 * (pollWait + pollMargin))
 		is.True(!m.Live(worker.Kind)[0].Leaving)
 		time.Sleep(lease)
-		is.True(!m.LeaseOver("i-1"))
+		is.True(!m.LeaseExpired("i-1"))
 		c.set(func() { is.True(c.lease > c.clock()) })
 	})
 }
@@ -52,7 +52,7 @@
 // Guards against commands that are queued behind stops to workers which have been
 // unresponsive for a long time.
 func TestStopOfUnresponsiveWorkerFailsImmediately(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		c.set(func() { c.partitioned = true })
--- a/internal/coordination/dispatch/leases/session.go
+++ b/internal/coordination/dispatch/leases/session.go
@@ -16,7 +16,7 @@
 
 // session manages one incarnation of a worker during one term of the leader.
 type session struct {
-	manager *Keeper
+	manager *Manager
 	token   uint64
 	target  Target
 	cancel  context.CancelFunc
@@ -115,7 +115,7 @@
 		return err
 	}
 	s.mu.Lock()
-	request := Look{Token: s.token, Acknowledged: s.tracker.AcknowledgeCommitted(s.manager.log.State())}
+	request := Poll{Token: s.token, Acknowledged: s.tracker.AcknowledgeCommitted(s.manager.log.State())}
 	if s.tracker.HasReport() && s.failedPolls == 0 && !s.unresponsive() {
 		request.Deadline = s.tracker.ExtendLease(s.now())
 		request.Wait = pollWait
@@ -124,13 +124,13 @@
 	return s.sendPoll(ctx, request)
 }
 
-func (s *session) sendPoll(ctx context.Context, request Look) error {
+func (s *session) sendPoll(ctx context.Context, request Poll) error {
 	pollsSent.Add(1)
 	ctx, cancel := context.WithTimeout(ctx, request.Wait+pollMargin)
 	defer cancel()
 	var report *Report
 	err := s.roundTrip(func() (err error) {
-		report, err = s.manager.client.Look(ctx, s.target, request)
+		report, err = s.manager.client.Poll(ctx, s.target, request)
 		return err
 	})
 	if err != nil {
--- a/internal/coordination/dispatch/leases/starts_model_test.go
+++ b/internal/coordination/dispatch/leases/starts_model_test.go
@@ -32,7 +32,7 @@
 
 // Guards against starts with a specification that no caller submitted, or with a
 // checkpoint of another task.
-func TestStartsCarryWhatWasSent(t *testing.T) {
+func TestStartsCarrySubmittedSpecification(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := drawSchedule(rt)
 		s.maxQueueDelay = maxCommandQueueDelay
--- a/internal/coordination/dispatch/leases/tracker.go
+++ b/internal/coordination/dispatch/leases/tracker.go
@@ -280,7 +280,7 @@
 
 func endReport(job *controlpb.Job, task uint32, end End) *peerpb.TaskReport {
 	report := &peerpb.TaskReport{Job: job.Id, Task: task, Epoch: end.Run, Checkpoint: end.Checkpoint}
-	switch end.How {
+	switch end.Outcome {
 	case Done:
 		report.Phase = peerpb.TaskPhase_TASK_PHASE_COMPLETED
 	case Failed:
--- a/internal/coordination/dispatch/leases/tracker_test.go
+++ b/internal/coordination/dispatch/leases/tracker_test.go
@@ -27,16 +27,16 @@
 
 // Guards against running a completed task again because the clock of another response
 // is taken for that of a report.
-func TestClockOfAnAnswerIsNoReport(t *testing.T) {
+func TestResponseClockIsNotReportClock(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(lease, startTime)
 	tracker.ApplyReport(&Report{Clock: 80}, at(0))
 	tracker.ObserveClock(105, at(25))
 	is.True(tracker.ReportClock() < 104) // the stop was answered at 104
-	tracker.ApplyReport(&Report{Clock: 104, Ends: []End{{Number: 1, Task: "w.0.0.0", Run: 1, How: Done}}}, at(26))
+	tracker.ApplyReport(&Report{Clock: 104, Ends: []End{{Number: 1, Task: "w.0.0.0", Run: 1, Outcome: Done}}}, at(26))
 	status, end := tracker.Find("w.0.0.0", 1)
 	is.Equal(status, Ended)
-	is.Equal(end.How, Done)
+	is.Equal(end.Outcome, Done)
 	is.Equal(tracker.ReportClock(), int64(104))
 }
 
@@ -82,7 +82,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			tracker := NewTracker(lease, startTime)
-			tracker.ApplyReport(&Report{Clock: 1, Ends: []End{{Number: 1, Task: "w.0.0.0", Run: 1, How: Done}}}, startTime)
+			tracker.ApplyReport(&Report{Clock: 1, Ends: []End{{Number: 1, Task: "w.0.0.0", Run: 1, Outcome: Done}}}, startTime)
 			is.Equal(tracker.AcknowledgeCommitted(c.state), c.want)
 		})
 	}
@@ -99,7 +99,7 @@
 
 // The leader's last command is sent at 0 and delayed. The worker's clock is 2% slow.
 // The runs may start elsewhere only after the whole lease by that clock.
-func TestLeaseOverCountsFromTheLastOrderThatLeft(t *testing.T) {
+func TestLeaseExpiryCountsFromLastSentCommand(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(lease, startTime.Add(-time.Hour))
 	tracker.ApplyReport(&Report{Clock: 1000}, at(0))
@@ -121,7 +121,7 @@
 
 // Guards against two concurrent runs of a task: a new leader must not forget commands
 // that the previous one may still have sent.
-func TestOrderOfANewLeaderForgetsNoneOfTheOneBefore(t *testing.T) {
+func TestCommandOfNewLeaderKeepsEarlierLeaseEnd(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(lease, at(1500))
 	tracker.ApplyReport(&Report{Clock: 1000}, at(50))
@@ -132,7 +132,7 @@
 
 // A start that was given up is carried out late: its run is active on the worker, while
 // the log has placed the task elsewhere or has it waiting. The run has to be stopped.
-func TestRunsThatTheLogGaveUpAreOrphans(t *testing.T) {
+func TestRunsUnknownToLogAreOrphans(t *testing.T) {
 	is := is.New(t)
 	tracker := NewTracker(lease, startTime)
 	tracker.ApplyReport(&Report{Clock: 1, Running: []Running{{Task: "w.0.0.0", Run: 1}}}, startTime)
--- a/internal/coordination/dispatch/leases/unconfirmed_test.go
+++ b/internal/coordination/dispatch/leases/unconfirmed_test.go
@@ -13,7 +13,7 @@
 // Guards against placing one gang after another on a partitioned worker that appears to
 // be idle.
 func TestUnresponsiveWorkerGetsNoNewWork(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		time.Sleep(time.Minute)
 		is.True(!m.Live(worker.Kind)[0].Leaving)
 		c.set(func() { c.partitioned = true })
@@ -36,13 +36,13 @@
 // A worker is partitioned while it runs a task. Unanswered polls must not count as
 // lease extensions, or its task could be started elsewhere only 3 s later.
 func TestUnansweredPollsDoNotExtendLease(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		_, err := sendCommand(m, api.PathTaskStart)
 		is.NoErr(err)
 		time.Sleep(10 * time.Second)
 		c.set(func() { c.partitioned = true })
 		partitionedAt := time.Now()
-		for !m.LeaseOver("i-1") {
+		for !m.LeaseExpired("i-1") {
 			time.Sleep(10 * time.Millisecond)
 		}
 		// The poll that is pending at the worker when the partition begins is answered,
@@ -54,8 +54,8 @@
 
 // Guards against withholding work from a healthy worker because the leader had no file
 // descriptor left for a connection to it.
-func TestOrderThatCouldNotLeavePutsNoWorkerInDoubt(t *testing.T) {
-	withManager(t, func(is *is.I, c *fakeCluster, m *Keeper) {
+func TestUnsentCommandDoesNotMarkWorkerUnconfirmed(t *testing.T) {
+	withManager(t, func(is *is.I, c *fakeCluster, m *Manager) {
 		time.Sleep(time.Minute)
 		c.set(func() { c.outOfDescriptors = true })
 		_, err := sendCommand(m, api.PathTaskStart)
--- a/internal/coordination/dispatch/leases/work_model_test.go
+++ b/internal/coordination/dispatch/leases/work_model_test.go
@@ -36,8 +36,8 @@
 			if !active.stopsAt.IsZero() {
 				consider(active.stopsAt, func() { sim.endRun(b, task, leases.Stopped, active.stopsAt) })
 			}
-			if at, how := sim.naturalEnd(task, active); how != 0 {
-				consider(at, func() { sim.endWork(b, task, how, at) })
+			if at, outcome := sim.naturalEnd(task, active); outcome != 0 {
+				consider(at, func() { sim.endWork(b, task, outcome, at) })
 			}
 		}
 	}
@@ -46,7 +46,7 @@
 
 // naturalEnd returns when and how a run ends by itself. A gang works from the start of
 // its last member.
-func (sim *simulation) naturalEnd(task string, active *activeRun) (time.Time, leases.How) {
+func (sim *simulation) naturalEnd(task string, active *activeRun) (time.Time, leases.Outcome) {
 	size, job := sim.gangOf(task)
 	if size == 0 {
 		return active.began.Add(sim.taskDuration[workflowOf(task)]), leases.Done
@@ -65,7 +65,7 @@
 	if members == size {
 		return last.Add(sim.taskDuration[workflowOf(task)]), leases.Done
 	}
-	return active.began.Add(gangStartTimeout), leases.Alone
+	return active.began.Add(gangStartTimeout), leases.GangTimedOut
 }
 
 func (sim *simulation) gangOf(task string) (size int, job string) {
@@ -84,32 +84,32 @@
 }
 
 // endRun ends one run, and with it the gang to which it belongs.
-func (sim *simulation) endRun(b *workerProcess, task string, how leases.How, now time.Time) {
+func (sim *simulation) endRun(b *workerProcess, task string, outcome leases.Outcome, now time.Time) {
 	run := b.running[task].run
-	b.end(task, how, now)
+	b.end(task, outcome, now)
 	sim.breakGang(task, run, now)
 }
 
 func (sim *simulation) breakGang(task string, run uint64, now time.Time) {
 	if size, job := sim.gangOf(task); size > 0 {
-		sim.endGang(job, run, leases.Broken, now)
+		sim.endGang(job, run, leases.GangBroken, now)
 	}
 }
 
-func (sim *simulation) endGang(job string, run uint64, how leases.How, now time.Time) {
+func (sim *simulation) endGang(job string, run uint64, outcome leases.Outcome, now time.Time) {
 	for _, b := range sim.workers {
 		for name, active := range b.running {
 			if _, of := sim.gangOf(name); of == job && active.run == run {
-				b.end(name, how, now)
+				b.end(name, outcome, now)
 			}
 		}
 	}
 }
 
-func (sim *simulation) endWork(b *workerProcess, task string, how leases.How, now time.Time) {
-	if size, job := sim.gangOf(task); size > 0 && how == leases.Done {
+func (sim *simulation) endWork(b *workerProcess, task string, outcome leases.Outcome, now time.Time) {
+	if size, job := sim.gangOf(task); size > 0 && outcome == leases.Done {
 		sim.endGang(job, b.running[task].run, leases.Done, now)
 		return
 	}
-	b.end(task, how, now)
+	b.end(task, outcome, now)
 }
--- a/internal/coordination/dispatch/leases/worker_model_test.go
+++ b/internal/coordination/dispatch/leases/worker_model_test.go
@@ -116,7 +116,7 @@
 	return b.clockAt(now), nil
 }
 
-func (b *workerProcess) report(request leases.Look, now time.Time) *leases.Report {
+func (b *workerProcess) report(request leases.Poll, now time.Time) *leases.Report {
 	b.acknowledge(request.Acknowledged, now)
 	report := &leases.Report{Clock: b.clockAt(now)}
 	for task, active := range b.running {
@@ -149,15 +149,15 @@
 }
 
 // end removes a run from the worker and records how it ended.
-func (b *workerProcess) end(task string, how leases.How, now time.Time) {
+func (b *workerProcess) end(task string, outcome leases.Outcome, now time.Time) {
 	active := b.running[task]
 	delete(b.running, task)
 	b.fencedRuns[task] = max(b.fencedRuns[task], active.run)
 	b.endCount++
-	b.ends = append(b.ends, leases.End{Number: b.endCount, Task: task, Run: active.run, How: how, Checkpoint: b.simulation.checkpointName(task, active.run)})
+	b.ends = append(b.ends, leases.End{Number: b.endCount, Task: task, Run: active.run, Outcome: outcome, Checkpoint: b.simulation.checkpointName(task, active.run)})
 	b.endedAt[b.endCount] = now
-	b.simulation.logAt(now, "%s ends run %d of %s, outcome %d, number %d", b.id, active.run, task, how, b.endCount)
-	if how == leases.Done {
+	b.simulation.logAt(now, "%s ends run %d of %s, outcome %d, number %d", b.id, active.run, task, outcome, b.endCount)
+	if outcome == leases.Done {
 		b.simulation.recordCompletion(b, task, active.run)
 	}
 }
@@ -166,7 +166,7 @@
 func (b *workerProcess) expireLease(now time.Time) {
 	b.leaseExpiredAt = now
 	for task := range b.running {
-		b.end(task, leases.Lapsed, now)
+		b.end(task, leases.LeaseExpired, now)
 	}
 }
 
