--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -106,12 +106,12 @@
 
 func newDispatcher(s *settings.Settings, log control.Log, w *workers, logger *logrus.Logger) *dispatch.Dispatcher {
 	return dispatch.New(dispatch.Config{
-		Logger:    logger,
-		Term:      w.term,
-		LeaseOver: w.leaseOver(),
-		MayLead:   w.mayLead,
-		Speeds:    w.speeds(),
-		Wakeups:   w.wakeups,
+		Logger:       logger,
+		Term:         w.term,
+		LeaseExpired: w.leaseOver(),
+		MayLead:      w.mayLead,
+		Speeds:       w.speeds(),
+		Wakeups:      w.wakeups,
 		Gang: gang.Config{
 			Lease:          s.Upstreams.Lease,
 			FreshnessBound: s.Control.FreshnessBound,
--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -202,7 +202,7 @@
 // would wait for an announcement anyway and then count as a failed attempt of the job. A
 // later pass decides again.
 func (c *Controller) toAnnouncedWorkers(assignments []*controlpb.Assignment) []*controlpb.Assignment {
-	if c.dispatcher.config.LeaseOver != nil {
+	if c.dispatcher.config.LeaseExpired != nil {
 		return assignments
 	}
 	now := c.now()
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -60,9 +60,9 @@
 type Config struct {
 	Gang       gang.Config
 	Quarantine quarantine.Config
-	// LeaseOver is passed to gang.Input.LeaseOver; nil if workers renew their leases
+	// LeaseExpired is passed to gang.Input.LeaseOver; nil if workers renew their leases
 	// by announcements.
-	LeaseOver func(worker string) bool
+	LeaseExpired func(worker string) bool
 	// MayLead is false for an instance that has no log replica and never leads; it does
 	// not track stops while other instances lead.
 	MayLead bool
@@ -140,7 +140,7 @@
 // expired leases are known by other means than waiting, or if this instance never leads:
 // an entry instance has a fifth of a core and should not spend it on scanning jobs.
 func (d *Dispatcher) ObserveStops() {
-	if d.config.MayLead && d.config.LeaseOver == nil {
+	if d.config.MayLead && d.config.LeaseExpired == nil {
 		d.machine.Follow(d.config.Now(), d.control.State().ActiveJobs())
 	}
 }
@@ -161,7 +161,7 @@
 		Workers:     workers,
 		Answers:     d.drainAnswers(),
 		Quarantined: func(worker string) bool { return d.verdict(state, worker) >= quarantine.Quarantined },
-		LeaseOver:   d.config.LeaseOver,
+		LeaseOver:   d.config.LeaseExpired,
 	})
 	for _, command := range output.Commands {
 		go d.send(ctx, command)
--- a/internal/coordination/dispatch/dispatch_test.go
+++ b/internal/coordination/dispatch/dispatch_test.go
@@ -124,7 +124,7 @@
 
 // Many jobs are submitted at once: one log entry places them all and one records that
 // they run, regardless of their number.
-func TestWaveCostsFewEntries(t *testing.T) {
+func TestJobBurstTakesFewLogEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log, workers, _, controller := newTestController()
@@ -175,7 +175,7 @@
 
 // A new leader places a job on a worker that the previous leader had seen disappear, and
 // the job loses an attempt.
-func TestNewLeaderPlacesNothingOnAWorkerThatItHasNotHeard(t *testing.T) {
+func TestNewLeaderPlacesNothingOnUnannouncedWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		log, _, dispatcher, _ := newTestController()
@@ -206,9 +206,9 @@
 func (r *idleRegistry) Get(string) (*peerpb.Upstream, bool)         { return r.list[0], true }
 func (r *idleRegistry) Live(peerpb.UpstreamKind) []*peerpb.Upstream { return r.list }
 
-// BenchmarkIdleTurn measures one tick of a leader that has nothing to do; it runs ten
+// BenchmarkIdleTick measures one tick of a leader that has nothing to do; it runs ten
 // ticks a second.
-func BenchmarkIdleTurn(b *testing.B) {
+func BenchmarkIdleTick(b *testing.B) {
 	for _, size := range []int{50, 1900} {
 		b.Run(fmt.Sprint("workers=", size), func(b *testing.B) {
 			registry := &idleRegistry{}
--- a/internal/coordination/dispatch/leases/instance_model_test.go
+++ b/internal/coordination/dispatch/leases/instance_model_test.go
@@ -65,10 +65,10 @@
 	config := leases.Config{Lease: leaseDuration, FreshnessBound: freshnessBound, Now: time.Now, Wake: func() {}, Logger: logger}
 	i.manager = leases.NewManager(config, i, i, i)
 	i.dispatcher = dispatch.New(dispatch.Config{
-		Gang:      gang.Config{Lease: leaseDuration, FreshnessBound: freshnessBound, AnnounceEvery: 500 * time.Millisecond, CommandTimeout: 2 * time.Second},
-		LeaseOver: i.leaseExpired,
-		Term:      i.Term,
-		Now:       time.Now,
+		Gang:         gang.Config{Lease: leaseDuration, FreshnessBound: freshnessBound, AnnounceEvery: 500 * time.Millisecond, CommandTimeout: 2 * time.Second},
+		LeaseExpired: i.leaseExpired,
+		Term:         i.Term,
+		Now:          time.Now,
 	}, i, i)
 	return i
 }
--- a/internal/coordination/dispatch/passgate_test.go
+++ b/internal/coordination/dispatch/passgate_test.go
@@ -12,7 +12,7 @@
 
 // A single job must not wait up to a second beyond the end of its backoff because nothing
 // else changes the input of a pass.
-func TestPassIsDueWhenAPauseEnds(t *testing.T) {
+func TestPassIsDueWhenBackoffEnds(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	inBackoff := &controlpb.Job{State: controlpb.JobState_JOB_STATE_WAITING, NotBeforeMs: now.Add(100 * time.Millisecond).UnixMilli()}
@@ -30,7 +30,7 @@
 
 // A job that has been starved for the longest permitted time must not wait up to a second
 // more because nothing changes the input of a pass.
-func TestPassIsDueWhenWorkHasStoodForLong(t *testing.T) {
+func TestPassIsDueAtStarvationLimit(t *testing.T) {
 	is := is.New(t)
 	now := time.UnixMilli(1_000_000)
 	gate := &passGate{}
--- a/internal/coordination/dispatch/verdicts_test.go
+++ b/internal/coordination/dispatch/verdicts_test.go
@@ -65,9 +65,9 @@
 	is.Equal(workerVerdicts.Get("probing").String(), "0")
 }
 
-// BenchmarkJudge measures the evaluation of 350 workers that are all due for a probe, as
-// after a network partition, with 2,800 open jobs.
-func BenchmarkJudge(b *testing.B) {
+// BenchmarkEvaluateWorkers measures the evaluation of 350 workers that are all due for a
+// probe, as after a network partition, with 2,800 open jobs.
+func BenchmarkEvaluateWorkers(b *testing.B) {
 	controller, state, live := stalledWorkers(350, 2800)
 	for b.Loop() {
 		controller.evaluateWorkers(state, live)
