--- a/internal/coordination/dispatch/leases/manager.go
+++ b/internal/coordination/dispatch/leases/manager.go
@@ -9,7 +9,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/workerspeed"
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 	"pinewinch.example/pinewinch/internal/state/store"
@@ -96,9 +96,9 @@
 	term        uint64
 	leaderSince time.Time
 	sessions    map[string]*session
-	// speedLearner estimates worker speeds from the progress of gangs. It is kept across
-	// terms.
-	speedLearner pace.Learner
+	// speedEstimator estimates worker speeds from the progress of gangs. It is kept
+	// across terms.
+	speedEstimator workerspeed.Estimator
 	// speeds is the result of the fit at fittedAt; loggedSpeeds holds the speeds that
 	// were last logged.
 	speeds       map[string]float64
@@ -224,7 +224,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, r := range rates {
-		m.speedLearner.Observe(r.run, worker, r.value)
+		m.speedEstimator.Observe(r.run, worker, r.value)
 	}
 }
 
@@ -233,7 +233,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if now := m.config.Now(); now.Sub(m.fittedAt) >= speedFitInterval {
-		m.speeds, m.fittedAt = m.speedLearner.Speeds(), now
+		m.speeds, m.fittedAt = m.speedEstimator.Speeds(), now
 		m.logSpeeds()
 	}
 	return m.speeds
--- a/internal/coordination/dispatch/leases/progress.go
+++ b/internal/coordination/dispatch/leases/progress.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/workerspeed"
 	"pinewinch.example/pinewinch/internal/protocol/api"
 	"pinewinch.example/pinewinch/internal/state/store"
 )
@@ -31,7 +31,7 @@
 
 // rate is the speed of one member of a gang in percent per millisecond.
 type rate struct {
-	run   pace.Run
+	run   workerspeed.Run
 	value float64
 }
 
@@ -63,7 +63,7 @@
 		}
 		if job, _, ok := FindTask(state, r.Task); ok && job.Tasks > 1 {
 			value := float64(r.Percent-first.percent) / float64(span)
-			rates = append(rates, rate{pace.Run{Job: job.Id, Epoch: r.Run}, value})
+			rates = append(rates, rate{workerspeed.Run{Job: job.Id, Epoch: r.Run}, value})
 		}
 	}
 	return rates
--- a/internal/coordination/dispatch/leases/progress_test.go
+++ b/internal/coordination/dispatch/leases/progress_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/matryer/is"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/workerspeed"
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 	"pinewinch.example/pinewinch/internal/state/store"
 )
@@ -30,7 +30,7 @@
 // others.
 func TestProgressRates(t *testing.T) {
 	member := Running{Task: "w.0.2.7", Run: 3}
-	want := []rate{{pace.Run{Job: "w.0.2", Epoch: 3}, 0.02}}
+	want := []rate{{workerspeed.Run{Job: "w.0.2", Epoch: 3}, 0.02}}
 	for _, c := range []struct {
 		name     string
 		readings map[int64]uint32
@@ -59,5 +59,5 @@
 	tracker := NewTracker(lease, time.UnixMilli(0))
 	applyReadings(tracker, Running{Task: "w.0.2.7", Run: 3}, map[int64]uint32{1000: 10, 2000: 90})
 	applyReadings(tracker, Running{Task: "w.0.2.7", Run: 4}, map[int64]uint32{3000: 10, 4000: 30})
-	is.Equal(tracker.rates(gangState), []rate{{pace.Run{Job: "w.0.2", Epoch: 4}, 0.02}})
+	is.Equal(tracker.rates(gangState), []rate{{workerspeed.Run{Job: "w.0.2", Epoch: 4}, 0.02}})
 }
--- a/internal/coordination/dispatch/pace/bench_test.go
+++ b/internal/coordination/dispatch/workerspeed/bench_test.go
@@ -1,18 +1,18 @@
-package pace_test
+package workerspeed_test
 
 import (
 	"fmt"
 	"testing"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/workerspeed"
 )
 
 // BenchmarkFit estimates the speeds of 540 workers from 256 runs of 13 members.
 func BenchmarkFit(b *testing.B) {
-	learner := &pace.Learner{}
+	estimator := &workerspeed.Estimator{}
 	observe := func(run, member int) {
 		worker := fmt.Sprint((run*7 + member*41) % 540)
-		learner.Observe(pace.Run{Job: fmt.Sprint(run)}, worker, 1+float64(member%3)/4)
+		estimator.Observe(workerspeed.Run{Job: fmt.Sprint(run)}, worker, 1+float64(member%3)/4)
 	}
 	for run := range 256 {
 		for member := range 13 {
@@ -21,6 +21,6 @@
 	}
 	for b.Loop() {
 		observe(255, 0)
-		learner.Speeds()
+		estimator.Speeds()
 	}
 }
--- a/internal/coordination/dispatch/pace/pace.go
+++ b/internal/coordination/dispatch/workerspeed/workerspeed.go
@@ -1,7 +1,7 @@
-// Package pace estimates the relative speeds of workers from the progress of gangs. All
-// members of a gang have the same amount of work and none completes before the slowest one,
-// so a gang on workers of different speed wastes the time of the fast ones.
-package pace
+// Package workerspeed estimates the relative speeds of workers from the progress of gangs.
+// All members of a gang have the same amount of work and none completes before the slowest
+// one, so a gang on workers of different speed wastes the time of the fast ones.
+package workerspeed
 
 import (
 	"math"
@@ -26,8 +26,8 @@
 	Epoch uint64
 }
 
-// Learner estimates speeds from observed rates. Its zero value is ready to use.
-type Learner struct {
+// Estimator estimates speeds from observed rates. Its zero value is ready to use.
+type Estimator struct {
 	// rates holds the natural logarithms of the members' rates, by run and worker.
 	rates map[Run]map[string]float64
 	// runs lists the keys of rates, oldest first.
@@ -37,21 +37,21 @@
 // Observe records the rate at which a worker progresses with its member of a run, in any
 // unit that is the same for all members. A later rate replaces an earlier one; rates that
 // are not positive are ignored.
-func (l *Learner) Observe(run Run, worker string, rate float64) {
+func (e *Estimator) Observe(run Run, worker string, rate float64) {
 	if rate <= 0 {
 		return
 	}
-	if l.rates == nil {
-		l.rates = map[Run]map[string]float64{}
+	if e.rates == nil {
+		e.rates = map[Run]map[string]float64{}
 	}
-	members := l.rates[run]
+	members := e.rates[run]
 	if members == nil {
 		members = map[string]float64{}
-		l.rates[run] = members
-		l.runs = append(l.runs, run)
-		if len(l.runs) > maxRuns {
-			delete(l.rates, l.runs[0])
-			l.runs = l.runs[1:]
+		e.rates[run] = members
+		e.runs = append(e.runs, run)
+		if len(e.runs) > maxRuns {
+			delete(e.rates, e.runs[0])
+			e.runs = e.runs[1:]
 		}
 	}
 	members[worker] = math.Log(rate)
@@ -60,12 +60,12 @@
 // Speeds returns the speed of each known worker relative to the median. It models a rate
 // as the product of its run's base rate and its worker's speed, and fits the two
 // alternately.
-func (l *Learner) Speeds() map[string]float64 {
+func (e *Estimator) Speeds() map[string]float64 {
 	speeds := map[string]float64{}
 	for range iterations {
 		sums, counts := map[string]float64{}, map[string]float64{}
-		for _, run := range l.runs {
-			members := l.rates[run]
+		for _, run := range e.runs {
+			members := e.rates[run]
 			if len(members) < 2 {
 				continue
 			}
--- a/internal/coordination/dispatch/pace/pace_test.go
+++ b/internal/coordination/dispatch/workerspeed/workerspeed_test.go
@@ -1,4 +1,4 @@
-package pace_test
+package workerspeed_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/matryer/is"
 
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/workerspeed"
 )
 
 // Speeds must be estimated from gangs on random workers, or a gang would wait for one slow
@@ -17,17 +17,17 @@
 	is := is.New(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	speeds := []float64{0.8, 1, 1.25}
-	learner := &pace.Learner{}
+	estimator := &workerspeed.Estimator{}
 	for gang := range 40 {
 		work := 1.5 + 2*random.Float64()
 		for _, worker := range random.Perm(60)[:8] {
 			span := 0.5 + random.Float64()
 			percent := math.Round(100 * span * speeds[worker%3] / work)
 			rate := percent / span
-			learner.Observe(pace.Run{Job: fmt.Sprint(gang)}, fmt.Sprint(worker), rate)
+			estimator.Observe(workerspeed.Run{Job: fmt.Sprint(gang)}, fmt.Sprint(worker), rate)
 		}
 	}
-	estimated := learner.Speeds()
+	estimated := estimator.Speeds()
 	is.True(len(estimated) > 50)
 	for worker, speed := range estimated {
 		var number int
@@ -41,26 +41,26 @@
 // rate doesn't separate the work of the run from the speed of the worker.
 func TestSingleMemberGangsGiveNoSpeeds(t *testing.T) {
 	is := is.New(t)
-	learner := &pace.Learner{}
-	is.Equal(len(learner.Speeds()), 0)
-	learner.Observe(pace.Run{Job: "a"}, "w", 3)
-	is.Equal(len(learner.Speeds()), 0)
+	estimator := &workerspeed.Estimator{}
+	is.Equal(len(estimator.Speeds()), 0)
+	estimator.Observe(workerspeed.Run{Job: "a"}, "w", 3)
+	is.Equal(len(estimator.Speeds()), 0)
 }
 
 // A worker becomes four times slower. Its earlier runs must be discarded as newer ones are
 // observed, or urgent work would still be placed on it.
 func TestSlowedWorkerIsDetected(t *testing.T) {
 	is := is.New(t)
-	learner := &pace.Learner{}
+	estimator := &workerspeed.Estimator{}
 	for gang := range 600 {
 		for worker := range 8 {
 			rate := 1.0
 			if worker == 3 && gang >= 300 {
 				rate = 0.25
 			}
-			learner.Observe(pace.Run{Job: fmt.Sprint(gang)}, fmt.Sprint(worker), rate)
+			estimator.Observe(workerspeed.Run{Job: fmt.Sprint(gang)}, fmt.Sprint(worker), rate)
 		}
 	}
-	is.True(learner.Speeds()["3"] < 0.35)
-	is.True(math.Abs(learner.Speeds()["4"]-1) < 0.05)
+	is.True(estimator.Speeds()["3"] < 0.35)
+	is.True(math.Abs(estimator.Speeds()["4"]-1) < 0.05)
 }
--- a/internal/experiment/overload/engine.go
+++ b/internal/experiment/overload/engine.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"pinewinch.example/pinewinch/internal/coordination/dispatch/keepwarm"
-	"pinewinch.example/pinewinch/internal/coordination/dispatch/pace"
+	"pinewinch.example/pinewinch/internal/coordination/dispatch/workerspeed"
 	"pinewinch.example/pinewinch/internal/coordination/scheduling"
 	"pinewinch.example/pinewinch/internal/experiment/timeline"
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
@@ -47,18 +47,18 @@
 
 // engine replays one day.
 type engine struct {
-	day     *Day
-	off     scheduling.Mechanisms
-	now     time.Duration
-	events  timeline.Queue[event]
-	active  []*unit
-	byJob   map[string]*unit
-	down    map[string]bool
-	plan    *scheduling.Plan
-	learned *scheduling.RunTimes
-	warm    keepwarm.Tracker
-	paces   pace.Learner
-	// speeds are what the paces tell.
+	day            *Day
+	off            scheduling.Mechanisms
+	now            time.Duration
+	events         timeline.Queue[event]
+	active         []*unit
+	byJob          map[string]*unit
+	down           map[string]bool
+	plan           *scheduling.Plan
+	learned        *scheduling.RunTimes
+	warm           keepwarm.Tracker
+	speedEstimator workerspeed.Estimator
+	// speeds holds the latest estimates of speedEstimator.
 	speeds map[string]float64
 	passed time.Duration
 	// news says that something changed since the last pass.
@@ -270,11 +270,11 @@
 		}
 		u.observed, learned = u.job.Epoch, true
 		for _, placement := range u.job.Placements {
-			e.paces.Observe(pace.Run{Job: u.job.Id, Epoch: u.job.Epoch}, placement.Worker, e.day.speeds[placement.Worker])
+			e.speedEstimator.Observe(workerspeed.Run{Job: u.job.Id, Epoch: u.job.Epoch}, placement.Worker, e.day.speeds[placement.Worker])
 		}
 	}
 	if learned {
-		e.speeds = e.paces.Speeds()
+		e.speeds = e.speedEstimator.Speeds()
 	}
 }
 
