--- a/internal/app/repair.go
+++ b/internal/app/repair.go
@@ -32,10 +32,10 @@
 		return
 	}
 	learned := detector.New(detector.Config{
-		First:      s.Control.RepairAfter,
-		Least:      min(leastRepairDelay, s.Control.RepairAfter),
-		Most:       mostRepairDelay,
-		RepairCost: repairCost,
+		InitialDelay: s.Control.RepairAfter,
+		MinDelay:     min(leastRepairDelay, s.Control.RepairAfter),
+		MaxDelay:     mostRepairDelay,
+		RepairCost:   repairCost,
 	})
 	config := repairer.Config{
 		Repair: repair.Config{Voters: s.Control.WantedVoters(), CutDelay: mostRepairDelay},
--- a/internal/coordination/membership/detector/detector.go
+++ b/internal/coordination/membership/detector/detector.go
@@ -22,19 +22,19 @@
 	// poolWindow is the number of most recent outages kept of all peers together.
 	poolWindow = 256
 	// minSamples is the number of outages needed for an estimate. A peer with fewer
-	// is estimated from those of all peers, and if these are fewer too, Config.First
-	// applies.
+	// is estimated from those of all peers, and if these are fewer too,
+	// Config.InitialDelay applies.
 	minSamples = 8
 )
 
 // Config configures a Detector.
 type Config struct {
-	// First is the delay while there are too few samples.
-	First time.Duration
-	// Least and Most are the limits of every delay computed from outages.
-	Least time.Duration
-	Most  time.Duration
-	Rule  Rule
+	// InitialDelay is the delay while there are too few samples.
+	InitialDelay time.Duration
+	// MinDelay and MaxDelay are the limits of every delay computed from outages.
+	MinDelay time.Duration
+	MaxDelay time.Duration
+	Rule     Rule
 	// RepairCost is, for the rule Cost, how long the repair of a real loss may be
 	// delayed to avoid one unnecessary repair.
 	RepairCost time.Duration
@@ -73,8 +73,8 @@
 	return &Detector{config: config, peers: map[string]*history{}}
 }
 
-// Returned records a transient outage: the peer answers again.
-func (d *Detector) Returned(peer string, outage time.Duration) {
+// ObserveReturn records a transient outage: the peer answers again.
+func (d *Detector) ObserveReturn(peer string, outage time.Duration) {
 	h := d.peers[peer]
 	if h == nil {
 		h = &history{}
@@ -85,8 +85,8 @@
 	d.returned++
 }
 
-// Lost records that a peer was given up, and discards its history.
-func (d *Detector) Lost(peer string) {
+// ObserveLoss records that a peer was given up, and discards its history.
+func (d *Detector) ObserveLoss(peer string) {
 	delete(d.peers, peer)
 	d.lost++
 }
@@ -97,7 +97,7 @@
 func (d *Detector) Delay(peer string, missing, wanted int) time.Duration {
 	outages := d.outagesFor(peer)
 	if outages == nil {
-		return d.config.First
+		return d.config.InitialDelay
 	}
 	sorted := slices.Sorted(slices.Values(outages))
 	delay := d.minCostDelay(sorted, missing)
@@ -105,7 +105,7 @@
 		index := int(float64(len(sorted)) * (1 - d.tolerance(missing, wanted)))
 		delay = withMargin(sorted[min(index, len(sorted)-1)])
 	}
-	return min(max(delay, d.config.Least), d.config.Most)
+	return min(max(delay, d.config.MinDelay), d.config.MaxDelay)
 }
 
 // minCostDelay returns the delay with the least expected cost, which is the time that
--- a/internal/coordination/membership/detector/detector_test.go
+++ b/internal/coordination/membership/detector/detector_test.go
@@ -8,11 +8,11 @@
 	"pgregory.net/rapid"
 )
 
-var config = Config{First: 10 * time.Minute, Least: 5 * time.Second, Most: 2 * time.Hour, RepairCost: time.Hour}
+var config = Config{InitialDelay: 10 * time.Minute, MinDelay: 5 * time.Second, MaxDelay: 2 * time.Hour, RepairCost: time.Hour}
 
 func addOutages(d *Detector, peer string, count int, outage time.Duration) {
 	for range count {
-		d.Returned(peer, outage)
+		d.ObserveReturn(peer, outage)
 	}
 }
 
@@ -25,8 +25,8 @@
 		"too few samples":       {func(d *Detector) { addOutages(d, "p", minSamples-1, time.Minute) }, 10 * time.Minute},
 		"own history":           {func(d *Detector) { addOutages(d, "p", minSamples, time.Minute); addOutages(d, "q", 50, time.Hour) }, 75 * time.Second},
 		"history of others":     {func(d *Detector) { addOutages(d, "q", minSamples, time.Minute) }, 75 * time.Second},
-		"not below Least":       {func(d *Detector) { addOutages(d, "p", minSamples, time.Millisecond) }, 5 * time.Second},
-		"not above Most":        {func(d *Detector) { addOutages(d, "p", 60, 3*time.Hour) }, 2 * time.Hour},
+		"not below MinDelay":    {func(d *Detector) { addOutages(d, "p", minSamples, time.Millisecond) }, 5 * time.Second},
+		"not above MaxDelay":    {func(d *Detector) { addOutages(d, "p", 60, 3*time.Hour) }, 2 * time.Hour},
 		"some long among short": {func(d *Detector) { addOutages(d, "p", 59, time.Minute); addOutages(d, "p", 5, time.Hour) }, 75 * time.Minute},
 		"losses raise cost of waiting": {func(d *Detector) {
 			addOutages(d, "p", 59, time.Minute)
@@ -34,7 +34,11 @@
 			addLosses(d, 20)
 		}, 75 * time.Second},
 		"outages too long to wait for": {func(d *Detector) { addOutages(d, "p", 60, 100*time.Hour) }, 5 * time.Second},
-		"loss discards history":        {func(d *Detector) { addOutages(d, "p", 8, time.Minute); d.Lost("p"); addOutages(d, "q", 60, time.Hour) }, 75 * time.Minute},
+		"loss discards history": {func(d *Detector) {
+			addOutages(d, "p", 8, time.Minute)
+			d.ObserveLoss("p")
+			addOutages(d, "q", 60, time.Hour)
+		}, 75 * time.Minute},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +64,7 @@
 
 func addLosses(d *Detector, count int) {
 	for range count {
-		d.Lost("other")
+		d.ObserveLoss("other")
 	}
 }
 
@@ -71,11 +75,11 @@
 		d := New(config)
 		d.config.Rule = rapid.SampledFrom([]Rule{Cost, Quantile}).Draw(t, "rule")
 		for range rapid.IntRange(0, 400).Draw(t, "silences") {
-			d.Returned("p", time.Duration(rapid.Int64Range(0, int64(5*time.Hour)).Draw(t, "silence")))
+			d.ObserveReturn("p", time.Duration(rapid.Int64Range(0, int64(5*time.Hour)).Draw(t, "silence")))
 		}
 		addLosses(d, rapid.IntRange(0, 50).Draw(t, "lost"))
 		noneMissing, oneMissing := d.Delay("p", 0, 5), d.Delay("p", 1, 5)
-		if noneMissing < config.Least || noneMissing > config.Most || oneMissing > noneMissing {
+		if noneMissing < config.MinDelay || noneMissing > config.MaxDelay || oneMissing > noneMissing {
 			t.Fatalf("delays %s and, with one missing, %s", noneMissing, oneMissing)
 		}
 		if len(d.peers["p"].outagesOrNil()) > peerWindow || len(d.pool.outages) > poolWindow {
--- a/internal/coordination/repairer/repairer.go
+++ b/internal/coordination/repairer/repairer.go
@@ -113,7 +113,7 @@
 	entry.Info("a voter was replaced")
 	for _, member := range configuration.GetMembers() {
 		if member.Identity == change.Remove {
-			r.detector.Lost(member.Instance)
+			r.detector.ObserveLoss(member.Instance)
 			delete(r.silentSince, member.Identity)
 		}
 	}
@@ -161,7 +161,7 @@
 		since, silent := r.silentSince[member.Identity]
 		switch {
 		case answers[member.Identity] && silent:
-			r.detector.Returned(member.Instance, now.Sub(since))
+			r.detector.ObserveReturn(member.Instance, now.Sub(since))
 			delete(r.silentSince, member.Identity)
 		case !answers[member.Identity] && !silent:
 			r.silentSince[member.Identity] = now
--- a/internal/coordination/repairer/repairer_test.go
+++ b/internal/coordination/repairer/repairer_test.go
@@ -68,7 +68,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	config := Config{Repair: repair.Config{Voters: 3, CutDelay: time.Hour}, Now: func() time.Time { return w.now }, Logger: logger}
-	return New(config, w, w, detector.New(detector.Config{First: delay, Least: time.Second, Most: time.Hour, RepairCost: time.Hour}))
+	return New(config, w, w, detector.New(detector.Config{InitialDelay: delay, MinDelay: time.Second, MaxDelay: time.Hour, RepairCost: time.Hour}))
 }
 
 // pass lets time go by with a look each second.
--- a/internal/experiment/benchcmd/detector.go
+++ b/internal/experiment/benchcmd/detector.go
@@ -33,7 +33,7 @@
 	}
 	for _, most := range []time.Duration{2 * time.Minute, 10 * time.Minute, 2 * time.Hour} {
 		config := detector.LearnedConfig
-		config.Most, config.Rule = most, learned.Quantile
+		config.MaxDelay, config.Rule = most, learned.Quantile
 		all = append(all, candidate{"quantile, at most " + most.String(), func() detector.Policy { return learned.New(config) }})
 	}
 	for _, cost := range []time.Duration{time.Minute, 10 * time.Minute, time.Hour} {
--- a/internal/experiment/detector/compare.go
+++ b/internal/experiment/detector/compare.go
@@ -11,8 +11,8 @@
 // Policy decides how long a silent peer is waited for.
 type Policy interface {
 	Delay(peer string, missing, wanted int) time.Duration
-	Returned(peer string, silence time.Duration)
-	Lost(peer string)
+	ObserveReturn(peer string, silence time.Duration)
+	ObserveLoss(peer string)
 }
 
 // Fixed waits the same for every peer.
@@ -21,14 +21,14 @@
 // Delay is the fixed one.
 func (f Fixed) Delay(string, int, int) time.Duration { return time.Duration(f) }
 
-// Returned learns nothing.
-func (Fixed) Returned(string, time.Duration) {}
+// ObserveReturn learns nothing.
+func (Fixed) ObserveReturn(string, time.Duration) {}
 
-// Lost learns nothing.
-func (Fixed) Lost(string) {}
+// ObserveLoss learns nothing.
+func (Fixed) ObserveLoss(string) {}
 
 // LearnedConfig bounds the learned delays: the first is the default fixed one.
-var LearnedConfig = detector.Config{First: 10 * time.Minute, Least: 5 * time.Second, Most: 2 * time.Hour}
+var LearnedConfig = detector.Config{InitialDelay: 10 * time.Minute, MinDelay: 5 * time.Second, MaxDelay: 2 * time.Hour}
 
 // Outcome of one policy on one trace.
 type Outcome struct {
@@ -51,9 +51,9 @@
 		count := i >= counted
 		switch {
 		case silence.Lost:
-			policy.Lost(silence.Peer)
+			policy.ObserveLoss(silence.Peer)
 		default:
-			policy.Returned(silence.Peer, silence.Lasts)
+			policy.ObserveReturn(silence.Peer, silence.Lasts)
 		}
 		if !count {
 			continue
