--- a/internal/coordination/replica/bench_test.go
+++ b/internal/coordination/replica/bench_test.go
@@ -10,8 +10,8 @@
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
 
-// slowDisk adds a delay to each sync: disks differ widely in that, and the
-// machine at hand may have one that syncs into a cache.
+// slowDisk adds a delay to each sync. Sync times differ widely between disks, and the
+// disk of the test machine may only sync into a cache.
 type slowDisk struct {
 	disk.OS
 	delay time.Duration
@@ -36,9 +36,9 @@
 	return f.File.Sync()
 }
 
-// loopRate is what the disk allows one writer that syncs each of its writes, of
-// a command's size: the measure for the log's own rates.
-func loopRate(b *testing.B, m *mesh) float64 {
+// diskSyncRate measures the writes per second of a single writer that syncs after each
+// write of a command's size. It is the baseline for the commit rate of the log.
+func diskSyncRate(b *testing.B, m *mesh) float64 {
 	file, err := m.files("").Create(filepath.Join(m.folder, "loop"))
 	if err != nil {
 		b.Fatal(err)
@@ -69,9 +69,9 @@
 	return m, m.leader()
 }
 
-// BenchmarkCommits measures commits of three voters on one disk in one process,
-// as a ratio to a plain write and sync loop there, taken before and after.
-// One commit syncs on three logs, which here share the disk.
+// BenchmarkCommits measures commits of three voters in one process, as a ratio to a
+// plain write and sync loop on the same disk, measured before and after. One commit is
+// synced by three logs, which share the disk here.
 func BenchmarkCommits(b *testing.B) {
 	for _, delay := range []time.Duration{0, time.Millisecond} {
 		for _, writers := range []int{1, 8, 64} {
@@ -84,25 +84,25 @@
 
 func benchmarkCommits(b *testing.B, delay time.Duration, writers int) {
 	m, leader := startOnDisk(b, 0, delay)
-	before := loopRate(b, m)
+	before := diskSyncRate(b, m)
 	synced := syncs.Value()
 	b.ResetTimer()
 	write(b, leader, writers, b.N)
 	rate := float64(b.N) / b.Elapsed().Seconds()
 	b.StopTimer()
 	perSync := float64(len(voters)*b.N) / float64(syncs.Value()-synced)
-	loop := (before + loopRate(b, m)) / 2
+	baseline := (before + diskSyncRate(b, m)) / 2
 	b.ReportMetric(rate, "commits/s")
-	b.ReportMetric(loop, "loop/s")
+	b.ReportMetric(baseline, "loop/s")
 	b.ReportMetric(perSync, "commits/sync")
-	b.ReportMetric(rate/loop, "commits/loop")
+	b.ReportMetric(rate/baseline, "commits/loop")
 }
 
-// write commits a number of commands by a number of writers.
+// write commits count commands from a number of concurrent writers.
 func write(b *testing.B, leader *Replica, writers, count int) {
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for w := range writers {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := w; i < count; i += writers {
 				if _, err := leader.Propose(background(), drain(fmt.Sprint("worker-", i%1000))); err != nil {
 					b.Error(err)
@@ -110,11 +110,11 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-// BenchmarkRestart measures how long a replica takes from opening its folder to
-// the state, after 100,000 changes, with snapshots as by default and without.
+// BenchmarkRestart measures the time from opening the data folder to the recovered state
+// after 100,000 changes, with default snapshots and without snapshots.
 func BenchmarkRestart(b *testing.B) {
 	for name, entries := range map[string]uint64{"snapshots": 0, "log-only": 1 << 40} {
 		b.Run(name, func(b *testing.B) {
@@ -133,7 +133,7 @@
 	}
 }
 
-// restart opens the folder and applies everything that is committed.
+// restart opens the data folder and applies all committed entries.
 func restart(b *testing.B, config *Config) {
 	storage, recovered, err := openStorage(config)
 	if err != nil {
@@ -144,7 +144,7 @@
 		b.Fatal(err)
 	}
 	for c.replaying() {
-		if err := c.carryOutAll(background()); err != nil {
+		if err := c.processAllReady(background()); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/coordination/replica/bootstrap.go
+++ b/internal/coordination/replica/bootstrap.go
@@ -14,23 +14,23 @@
 
 // Pauses between two rounds of introductions.
 const (
-	firstIntroduction  = 100 * time.Millisecond
-	lastIntroduction   = 3 * time.Second
-	introducingTimeout = time.Second
+	minIntroducePause = 100 * time.Millisecond
+	maxIntroducePause = 3 * time.Second
+	introduceTimeout  = time.Second
 )
 
-// introductions knows which peers answered when they were last asked who they are.
-// Another that introduces itself has come since, and the next round is due at once:
-// a voter that comes late would otherwise find the others in a pause of up to
-// lastIntroduction, and callers without a leader for as long.
+// introductions records which peers answered the latest request for their identity. If
+// another peer introduces itself, it has started since, and the next round is due
+// immediately: otherwise a voter that starts late would meet the others in a pause of up
+// to maxIntroducePause, and callers would have no leader for that long.
 type introductions struct {
 	mu       sync.Mutex
 	answered map[string]bool
-	// came is raised when a peer introduces itself that has not answered.
-	came control.Signal
+	// newPeer is raised when a peer that has not answered introduces itself.
+	newPeer control.Signal
 }
 
-func (i *introductions) note(peer string, answered bool) {
+func (i *introductions) recordAnswer(peer string, answered bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.answered == nil {
@@ -39,97 +39,97 @@
 	i.answered[peer] = answered
 }
 
-// heard notes that a peer introduces itself. One that answered is no news: two
-// replicas would otherwise wake each other without a pause.
-func (i *introductions) heard(peer string) {
+// peerIntroduced records that a peer introduced itself. Peers that have answered are
+// ignored: two replicas would otherwise wake each other continuously.
+func (i *introductions) peerIntroduced(peer string) {
 	i.mu.Lock()
 	answered := i.answered[peer]
 	i.mu.Unlock()
 	if !answered {
-		i.came.Raise()
+		i.newPeer.Raise()
 	}
 }
 
-// found takes part in founding the cluster, as long as this replica has no log.
+// bootstrap takes part in the bootstrap of the cluster while this replica has no log.
 //
-// The danger is a wiped disk: a replica that has forgotten its votes must not
-// found a second cluster under the eyes of the first. So identities are
-// exchanged first, and
+// A replica with a wiped disk has lost its votes and must not bootstrap a second cluster
+// beside the existing one. Identities are therefore exchanged first, and
 //
-//   - only the first of the voters in the settings decides on the founding
-//     configuration, and only when every one of them answers that it has no
-//     log and no other instance knows of control state;
-//   - the others take that configuration from a founder, and only if it holds
-//     their own identity, which a wiped disk has lost;
-//   - everyone else waits until an operator adds it as a learner.
-func (r *Replica) found(ctx context.Context) {
-	for length := firstIntroduction; !r.established(ctx); length = min(2*length, lastIntroduction) {
-		came := r.introductions.came.Next()
-		if first := r.agree(ctx); first != nil {
-			_ = r.ask(ctx, func(c *core) { c.found(first) })
+//   - only the first voter in the settings determines the initial configuration, and only
+//     when all voters answer that they have no log and no other instance knows of control
+//     state;
+//   - the other voters take that configuration from a voter that has it, and only if it
+//     contains their own identity, which a wiped disk has lost;
+//   - all other replicas wait until an operator adds them as learners.
+func (r *Replica) bootstrap(ctx context.Context) {
+	for pause := minIntroducePause; !r.established(ctx); pause = min(2*pause, maxIntroducePause) {
+		newPeer := r.introductions.newPeer.Next()
+		if initial := r.resolveInitialConfiguration(ctx); initial != nil {
+			_ = r.runInCore(ctx, func(c *core) { c.bootstrap(initial) })
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-came:
-		case <-time.After(length):
+		case <-newPeer:
+		case <-time.After(pause):
 		}
 	}
 }
 
-// established tells whether this replica has a log already.
+// established reports whether this replica already has a log.
 func (r *Replica) established(ctx context.Context) bool {
 	established := false
-	err := r.ask(ctx, func(c *core) { established = c.established() })
+	err := r.runInCore(ctx, func(c *core) { established = c.established() })
 	return established || err != nil
 }
 
 func (c *core) established() bool {
-	return len(c.node.Status().Configuration.GetMembers()) > 0 || c.disk.first != nil
+	return len(c.node.Status().Configuration.GetMembers()) > 0 || c.disk.initial != nil
 }
 
-// agree gives the founding configuration, or nil while there is none for this
-// replica.
-func (r *Replica) agree(ctx context.Context) *consensuspb.Configuration {
-	own := r.disk.identity
-	identities := map[string]string{r.config.Instance: own}
-	exists := false
+// resolveInitialConfiguration returns the initial configuration, or nil while there is
+// none for this replica.
+func (r *Replica) resolveInitialConfiguration(ctx context.Context) *consensuspb.Configuration {
+	identity := r.disk.identity
+	identities := map[string]string{r.config.Instance: identity}
+	clusterExists := false
 	for _, peer := range r.config.Peers() {
-		met, err := r.meet(ctx, peer)
-		r.introductions.note(peer, err == nil)
+		introduction, err := r.fetchIntroduction(ctx, peer)
+		r.introductions.recordAnswer(peer, err == nil)
 		if err != nil {
 			continue
 		}
-		if holds(met.First, own) {
-			return met.First
+		if hasVoter(introduction.First, identity) {
+			return introduction.First
 		}
-		exists = exists || met.Cluster
-		identities[peer] = met.Identity
+		clusterExists = clusterExists || introduction.Cluster
+		identities[peer] = introduction.Identity
 	}
-	if exists || len(r.config.Voters) == 0 || r.config.Voters[0] != r.config.Instance {
+	if clusterExists || len(r.config.Voters) == 0 || r.config.Voters[0] != r.config.Instance {
 		return nil
 	}
-	return r.firstOf(identities)
+	return r.newInitialConfiguration(identities)
 }
 
-// firstOf makes the founding configuration once every voter has an identity.
-func (r *Replica) firstOf(identities map[string]string) *consensuspb.Configuration {
-	first := &consensuspb.Configuration{}
+// newInitialConfiguration returns the initial configuration once the identity of every
+// voter is known, nil before.
+func (r *Replica) newInitialConfiguration(identities map[string]string) *consensuspb.Configuration {
+	initial := &consensuspb.Configuration{}
 	for _, voter := range r.config.Voters {
 		if identities[voter] == "" {
 			return nil
 		}
-		first.Members = append(first.Members, &consensuspb.Member{
+		initial.Members = append(initial.Members, &consensuspb.Member{
 			Identity: identities[voter],
 			Instance: voter,
 			Voter:    true,
 		})
 	}
-	return first
+	return initial
 }
 
-func holds(configuration *consensuspb.Configuration, identity string) bool {
+func hasVoter(configuration *consensuspb.Configuration, identity string) bool {
 	for _, member := range configuration.GetMembers() {
 		if member.Identity == identity && member.Voter {
 			return true
@@ -138,52 +138,52 @@
 	return false
 }
 
-// meet asks an instance who it is in the control log.
-func (r *Replica) meet(ctx context.Context, instance string) (*peerpb.Introduction, error) {
+// fetchIntroduction asks an instance for its identity in the control log.
+func (r *Replica) fetchIntroduction(ctx context.Context, instance string) (*peerpb.Introduction, error) {
 	if instance == r.config.Instance {
-		return r.introduce(), nil
+		return r.introduction(), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, introducingTimeout)
+	ctx, cancel := context.WithTimeout(ctx, introduceTimeout)
 	defer cancel()
 	reply, err := r.peers.Call(ctx, instance, &peerpb.Call{Body: &peerpb.Call_Introduce{Introduce: &peerpb.Introduce{}}})
 	if err != nil {
 		return nil, err
 	}
 	if reply.GetIntroduction() == nil {
-		return nil, failure.New(failure.WrongAnswer, "%s did not introduce itself", instance)
+		return nil, failure.New(failure.WrongAnswer, "%s answered without an introduction", instance)
 	}
 	return reply.GetIntroduction(), nil
 }
 
-// introduce tells who this replica is.
-func (r *Replica) introduce() *peerpb.Introduction {
+// introduction describes this replica to its peers.
+func (r *Replica) introduction() *peerpb.Introduction {
 	introduction := &peerpb.Introduction{Identity: r.disk.identity}
 	status := r.Status()
 	introduction.Cluster = len(status.Configuration.GetMembers()) > 0
-	introduction.First = r.foundedWith.Load()
+	introduction.First = r.initialConfiguration.Load()
 	return introduction
 }
 
-// found starts the log with the founding configuration. Votes that this replica
-// gave while it had none stay: they were promises.
-func (c *core) found(first *consensuspb.Configuration) {
+// bootstrap starts the log with the initial configuration. The term and vote that this
+// replica persisted before are kept, since other replicas may rely on them.
+func (c *core) bootstrap(initial *consensuspb.Configuration) {
 	if c.established() {
 		return
 	}
-	if err := c.disk.found(first); err != nil {
+	if err := c.disk.bootstrap(initial); err != nil {
 		c.failure = err
 		return
 	}
-	founded := consensus.Bootstrap(first.Members)
-	if c.hard.GetTerm() >= founded.Hard.Term {
-		founded.Hard = &consensuspb.HardState{Term: c.hard.Term, Vote: c.hard.Vote, Commit: founded.Hard.Commit}
+	bootstrapped := consensus.Bootstrap(initial.Members)
+	if c.hard.GetTerm() >= bootstrapped.Hard.Term {
+		bootstrapped.Hard = &consensuspb.HardState{Term: c.hard.Term, Vote: c.hard.Vote, Commit: bootstrapped.Hard.Commit}
 	}
-	if err := c.disk.log.Append(founded.Hard, nil); err != nil {
+	if err := c.disk.log.Append(bootstrapped.Hard, nil); err != nil {
 		c.failure = err
 		return
 	}
-	c.hard = founded.Hard
-	c.node = consensus.New(c.nodeConfig(), founded)
+	c.hard = bootstrapped.Hard
+	c.node = consensus.New(c.nodeConfig(), bootstrapped)
 	recovered, err := c.disk.snapshots.Load(0, 0, nil)
 	if err != nil {
 		c.failure = err
@@ -194,6 +194,6 @@
 		return
 	}
 	c.saving.index = c.state.Index()
-	c.replica.foundedWith.Store(first)
+	c.replica.initialConfiguration.Store(initial)
 	c.replica.published.Publish(c.state)
 }
--- a/internal/coordination/replica/bootstrap_test.go
+++ b/internal/coordination/replica/bootstrap_test.go
@@ -10,42 +10,44 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// A second cluster, or a second vote in one term, by a replica whose disk was wiped.
+// Guards against a second cluster, or a second vote in one term, by a replica whose disk
+// was wiped.
 func TestWipedDiskJoinsOnlyWhenAdded(t *testing.T) {
 	for _, wiped := range voters {
 		t.Run(wiped, func(t *testing.T) {
 			inBubble(t, func(is *is.I, m *mesh) {
-				m.entries = 20 // so that joining takes a snapshot
+				m.entries = 20 // so that joining requires a snapshot
 				startAll(m)
 				for i := range 50 {
 					propose(is, m.leader(), fmt.Sprint("w", i))
 				}
 				m.crash(wiped)
 				delete(m.disks, wiped)
-				back := m.start(wiped)
+				rejoined := m.start(wiped)
 				time.Sleep(time.Minute)
-				is.True(!back.Member())
-				is.True(back.Fresh() != nil)
-				is.Equal(back.State().Index(), uint64(0))
+				is.True(!rejoined.Member())
+				is.True(rejoined.Fresh() != nil)
+				is.Equal(rejoined.State().Index(), uint64(0))
 				propose(is, m.leader(), "meanwhile")
 
 				change := &peerpb.ChangeMembers{Add: wiped, Remove: wiped}
 				is.NoErr(m.leader().ChangeMembers(background(), change))
 				time.Sleep(2 * time.Second)
-				is.NoErr(back.Fresh())
-				is.True(back.State().Drained("w0"))
-				is.True(back.State().Drained("meanwhile"))
+				is.NoErr(rejoined.Fresh())
+				is.True(rejoined.State().Drained("w0"))
+				is.True(rejoined.State().Drained("meanwhile"))
 				is.Equal(len(m.leader().Status().Configuration.Members), 3)
-				is.NoErr(m.leader().ChangeMembers(background(), change)) // again: nothing left to do
+				is.NoErr(m.leader().ChangeMembers(background(), change)) // repeated: nothing left to do
 				is.Equal(len(m.leader().Status().Configuration.Members), 3)
 			})
 		})
 	}
 }
 
-// All three start on new disks but one is not there yet: no part of them may
-// found a cluster without it, for it could have been wiped under an old one.
-func TestFoundingWaitsForEveryVoter(t *testing.T) {
+// All voters start on new disks, but one is not running yet. The others must not
+// bootstrap a cluster without it, since their disks may have been wiped while it kept
+// the log of an older cluster.
+func TestBootstrapWaitsForEveryVoter(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		first, second := m.start("i1"), m.start("i2")
 		time.Sleep(time.Minute)
@@ -55,7 +57,8 @@
 	})
 }
 
-// No leader for seconds, since the voters pause while the last of them starts.
+// Guards against seconds without a leader because the other voters pause between two
+// rounds of introductions while the last voter starts.
 func TestLateVoterIsFoundedWithAtOnce(t *testing.T) {
 	for _, late := range voters {
 		t.Run(late, func(t *testing.T) {
@@ -70,16 +73,17 @@
 				began := time.Now()
 				m.leader()
 				const longestElection = 2 * electionTimeout
-				is.True(time.Since(began) <= firstIntroduction+2*longestElection)
+				is.True(time.Since(began) <= minIntroducePause+2*longestElection)
 			})
 		})
 	}
 }
 
-// Accepted changes that revert: voters with empty disks found the cluster anew.
-func TestFoundingStopsWhereSomebodyRemembers(t *testing.T) {
+// Guards against the loss of committed changes when voters with empty disks bootstrap a
+// new cluster although a peer still has the control state.
+func TestNoBootstrapWhenPeerHasControlState(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
-		m.remembering = "i4"
+		m.instanceWithCluster = "i4"
 		for _, voter := range voters {
 			m.start(voter)
 		}
--- a/internal/coordination/replica/confirm.go
+++ b/internal/coordination/replica/confirm.go
@@ -11,19 +11,21 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// confirmsPerBound is how many times per freshness bound a member that does not
-// lead asks the leader.
-const confirmsPerBound = 8
+// confirmationsPerBound is how many times per freshness bound a replica that does not
+// lead asks the leader for a confirmation.
+const confirmationsPerBound = 8
 
-// read waits for a fresh read: for its round, then for its index.
+// read is a pending linearizable read: it waits for its ReadIndex round to be confirmed,
+// then for the index of that round to be applied.
 type read struct {
 	round uint64
 	index uint64
 	done  chan error
 }
 
-// Age is such that a State read after it returned holds everything that was
-// committed that long ago or earlier.
+// Age returns the age of the control state: a State read after Age returned includes
+// everything that was committed at least that long ago. It fails with stale_state if the
+// age exceeds the freshness bound.
 func (r *Replica) Age() (time.Duration, error) {
 	confirmed := r.confirmed.Load()
 	if confirmed == nil {
@@ -36,23 +38,23 @@
 	return age, nil
 }
 
-// Fresh fails while the state is older than the freshness bound: a replica that
-// is cut off, also a leader, would admit work under rules since replaced.
+// Fresh returns an error if the state is older than the freshness bound: a partitioned
+// replica, even a leader, would admit work under rules that have been replaced.
 func (r *Replica) Fresh() error {
 	_, err := r.Age()
 	return err
 }
 
-// confirmAsLeader notes the newest moment at which a quorum surely recognised
-// this leader: what was committed before it has been applied here. The part of
-// a tick since the last one counts as a whole one.
+// confirmAsLeader records the newest time at which a quorum certainly recognised this
+// leader: everything committed before it has been applied here. The elapsed part of the
+// current tick counts as a whole tick.
 func (c *core) confirmAsLeader(status consensus.Status) {
 	at := c.lastTick.Add(-time.Duration(status.QuorumAge+1) * c.tick)
-	c.replica.confirm(at)
+	c.replica.advanceConfirmed(at)
 }
 
-// confirm moves the confirmation forward, never back.
-func (r *Replica) confirm(at boottime.Time) {
+// advanceConfirmed moves the confirmed time forward, never back.
+func (r *Replica) advanceConfirmed(at boottime.Time) {
 	for {
 		earlier := r.confirmed.Load()
 		if earlier != nil && !at.After(*earlier) {
@@ -64,41 +66,42 @@
 	}
 }
 
-// confirmFromLeader asks the leader again and again how old its state is, and a new
-// leader at once.
-func (r *Replica) confirmFromLeader(ctx context.Context) {
-	every := r.config.FreshnessBound / confirmsPerBound
+// confirmPeriodically asks the leader periodically how old its state is, and a new
+// leader immediately.
+func (r *Replica) confirmPeriodically(ctx context.Context) {
+	interval := r.config.FreshnessBound / confirmationsPerBound
 	for ctx.Err() == nil {
 		changed := r.leaderChanged.Next()
-		r.confirmUntil(ctx, changed)
+		r.confirmWithLeader(ctx, changed)
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
 	}
 }
 
-// confirmUntil asks the leader of now once and gives up when the leader changes. One
-// whose machine stands still leaves its connections open and never answers: a replica
-// that waited for it would be stale, and refuse its callers, long after another one
+// confirmWithLeader asks the current leader once and gives up when the leader changes. A
+// leader whose machine is paused keeps its connections open and never answers: a replica
+// that waited for it would become stale and refuse its callers long after another leader
 // was elected.
-func (r *Replica) confirmUntil(ctx context.Context, changed <-chan struct{}) {
+func (r *Replica) confirmWithLeader(ctx context.Context, changed <-chan struct{}) {
 	leader := r.Leader()
 	if leader == "" || leader == r.config.Instance {
 		return
 	}
-	led, leave := control.WithDone(ctx, changed)
-	defer leave()
-	asking, cancel := context.WithTimeout(led, r.config.FreshnessBound)
+	leaderCtx, cancelLeader := control.WithDone(ctx, changed)
+	defer cancelLeader()
+	callCtx, cancel := context.WithTimeout(leaderCtx, r.config.FreshnessBound)
 	defer cancel()
-	// A failed try leaves the state to grow old; the next one follows.
-	_ = r.confirmFrom(asking, leader, false)
+	// After a failed attempt the age of the state grows; the next attempt follows.
+	_ = r.requestConfirmation(callCtx, leader, false)
 }
 
-// confirmFrom asks the leader and waits until what it had committed is applied
-// here. Only this process's clock is read: the age counts from the sending.
-func (r *Replica) confirmFrom(ctx context.Context, leader string, fresh bool) error {
+// requestConfirmation asks the leader and waits until what the leader had committed is
+// applied here. Only the clock of this process is read: the age is counted from the
+// sending of the request.
+func (r *Replica) requestConfirmation(ctx context.Context, leader string, fresh bool) error {
 	sent := boottime.Now()
 	call := &peerpb.Call{Body: &peerpb.Call_Confirm{Confirm: &peerpb.Confirm{Read: fresh}}}
 	reply, err := r.peers.Call(ctx, leader, call)
@@ -109,19 +112,19 @@
 	if err := control.AwaitIndex(ctx, r, confirmation.GetIndex()); err != nil {
 		return err
 	}
-	r.confirm(sent.Add(-time.Duration(confirmation.GetAgeMs()) * time.Millisecond))
+	r.advanceConfirmed(sent.Add(-time.Duration(confirmation.GetAgeMs()) * time.Millisecond))
 	return nil
 }
 
-// serveConfirm answers as the leader. Age first, then the state: the state
-// then holds all that the age speaks of.
-func (r *Replica) serveConfirm(ctx context.Context, ask *peerpb.Confirm) (*peerpb.Confirmation, error) {
+// serveConfirm answers a confirmation request as the leader. It reads the age before the
+// state, so that the state includes everything that the age covers.
+func (r *Replica) serveConfirm(ctx context.Context, request *peerpb.Confirm) (*peerpb.Confirmation, error) {
 	if !r.IsLeader() {
 		f := failure.New(failure.NotLeader, "this replica does not lead")
 		f.Leader = r.Leader()
 		return nil, f
 	}
-	if ask.Read {
+	if request.Read {
 		if err := r.readAsLeader(ctx); err != nil {
 			return nil, err
 		}
@@ -135,7 +138,7 @@
 	return &peerpb.Confirmation{Index: r.State().Index(), AgeMs: roundedUp}, nil
 }
 
-// Read waits until State holds everything that was committed before the call.
+// Read waits until State includes everything that was committed before the call.
 func (r *Replica) Read(ctx context.Context) error {
 	leader := r.Leader()
 	switch leader {
@@ -144,13 +147,13 @@
 	case "":
 		return failure.New(failure.NoLeader, "no leader is known")
 	}
-	return r.confirmFrom(ctx, leader, true)
+	return r.requestConfirmation(ctx, leader, true)
 }
 
 func (r *Replica) readAsLeader(ctx context.Context) error {
 	waiting := &read{done: make(chan error, 1)}
-	begin := func(c *core) {
-		if err := c.refuseWhileHeld(); err != nil {
+	start := func(c *core) {
+		if err := c.checkWritable(); err != nil {
 			waiting.done <- err
 			return
 		}
@@ -162,7 +165,7 @@
 		waiting.round = round
 		c.reads = append(c.reads, waiting)
 	}
-	if err := r.ask(ctx, begin); err != nil {
+	if err := r.runInCore(ctx, start); err != nil {
 		return err
 	}
 	select {
@@ -173,7 +176,7 @@
 	}
 }
 
-func (c *core) takeReadStates(states []consensus.ReadState) {
+func (c *core) assignReadIndexes(states []consensus.ReadState) {
 	for _, state := range states {
 		for _, waiting := range c.reads {
 			if waiting.round <= state.Round && waiting.index == 0 {
@@ -183,14 +186,14 @@
 	}
 }
 
-// answerReads ends the reads whose index is applied, and all of them when this
-// replica no longer leads: their rounds will never be confirmed.
-func (c *core) answerReads() {
+// completeReads completes the reads whose index is applied. If this replica no longer
+// leads, it fails the others, since their rounds will never be confirmed.
+func (c *core) completeReads() {
 	if len(c.reads) == 0 {
 		return
 	}
 	leads := c.node.Status().Role == consensus.Leader
-	var left []*read
+	var remaining []*read
 	for _, waiting := range c.reads {
 		switch {
 		case waiting.index != 0 && waiting.index <= c.state.Index():
@@ -198,8 +201,8 @@
 		case !leads:
 			waiting.done <- failure.New(failure.NotLeader, "leadership was lost before the read")
 		default:
-			left = append(left, waiting)
+			remaining = append(remaining, waiting)
 		}
 	}
-	c.reads = left
+	c.reads = remaining
 }
--- a/internal/coordination/replica/confirm_test.go
+++ b/internal/coordination/replica/confirm_test.go
@@ -7,27 +7,28 @@
 	"github.com/matryer/is"
 )
 
-// afterElection is how long after an election every replica has its state confirmed
-// by the new leader: one distance between two asks, in case that the first one came
-// before the leader's first commit, and 10 ms for the calls.
+// afterElection is the time after an election within which every replica has its state
+// confirmed by the new leader: one interval between two requests, in case the first one
+// arrived before the leader's first commit, and 10 ms for the calls.
 func afterElection(r *Replica) time.Duration {
-	return r.config.FreshnessBound/confirmsPerBound + 10*time.Millisecond
+	return r.config.FreshnessBound/confirmationsPerBound + 10*time.Millisecond
 }
 
-// Callers refused as stale, since a replica waits for the answer of a frozen leader.
+// Guards against callers refused as stale because a replica waits for the answer of a
+// paused leader.
 func TestReplicaAsksTheNewLeaderWhenTheOldOneFreezes(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		time.Sleep(time.Second)
-		m.freeze(old.config.Instance)
-		frozen := time.Now()
+		m.pause(old.config.Instance)
+		paused := time.Now()
 		next := m.leader()
-		third := m.bystander(old, next)
+		third := m.thirdVoter(old, next)
 		time.Sleep(afterElection(third))
 		age, err := third.Age()
 		is.NoErr(err)
-		is.True(age < time.Since(frozen)) // confirmed by the new leader
-		for time.Since(frozen) < 2*third.config.FreshnessBound {
+		is.True(age < time.Since(paused)) // confirmed by the new leader
+		for time.Since(paused) < 2*third.config.FreshnessBound {
 			time.Sleep(10 * time.Millisecond)
 			is.NoErr(next.Fresh())
 			is.NoErr(third.Fresh())
@@ -35,8 +36,8 @@
 	})
 }
 
-// bystander is the voter that is neither of two.
-func (m *mesh) bystander(one, other *Replica) *Replica {
+// thirdVoter returns the voter that is neither of the two.
+func (m *mesh) thirdVoter(one, other *Replica) *Replica {
 	for _, voter := range voters {
 		if r := m.replicas[voter]; r != one && r != other {
 			return r
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// maxBatch and maxBatchBytes bound the commands that share one sync.
+	// maxBatch and maxBatchBytes limit the commands that share one sync.
 	maxBatch      = 1024
 	maxBatchBytes = 4 << 20
-	// maxMessages bounds the messages taken before the next sync.
+	// maxMessages limits the messages processed before the next sync.
 	maxMessages = 128
-	// maxMissedTicks bounds the ticks made up for after the process stood still.
-	// Long before, a leader has stepped down, so no age is understated.
+	// maxMissedTicks limits the ticks that are made up for after a pause of the process.
+	// A leader steps down long before that many ticks, so no age is understated.
 	maxMissedTicks = 4 * electionTicks
 )
 
-// core is what the owner's goroutine owns.
+// core is the state owned by the goroutine that runs the log.
 type core struct {
 	replica  *Replica
 	disk     *storage
@@ -38,18 +38,18 @@
 	hard     *consensuspb.HardState
 	tick     time.Duration
 	lastTick boottime.Time
-	// pending are the proposals on their way, by index.
+	// pending holds the proposals that are not yet applied, by index.
 	pending map[uint64]*proposal
-	// reads wait for their round, then for its index.
-	reads    []*read
-	failure  error
-	leaderOf leaderTerm
-	saving   saving
-	replay   replay
-	fetching bool
-	// held waits for room on the disk; nil as a rule.
-	held   *consensus.Ready
-	strain strain
+	// reads wait for their round to be confirmed, then for its index to be applied.
+	reads      []*read
+	failure    error
+	leadership leaderTerm
+	saving     saving
+	replay     replay
+	fetching   bool
+	// deferred is a Ready that waits for free space on the disk; normally nil.
+	deferred     *consensus.Ready
+	delayTracker delayTracker
 }
 
 func newCore(r *Replica, storage *storage, recovered *recovery) (*core, error) {
@@ -67,7 +67,7 @@
 	c.node = consensus.New(c.nodeConfig(), recovered.consensus)
 	c.replica.published.Publish(c.state)
 	c.publishView()
-	c.beginReplay(recovered)
+	c.startReplay(recovered)
 	return c, nil
 }
 
@@ -84,21 +84,22 @@
 	}
 }
 
-// run owns the log until ctx ends and, on a leader, another one has taken over.
-func (c *core) run(ctx, working context.Context) error {
+// run processes the log until ctx ends and, on a leader, another replica has taken over
+// or the transfer has timed out.
+func (c *core) run(ctx, workCtx context.Context) error {
 	ticker := time.NewTicker(c.tick)
 	defer ticker.Stop()
-	stop := stopping{asked: ctx.Done()}
+	stop := gracefulStop{requested: ctx.Done()}
 	for {
 		select {
-		case <-stop.asked:
+		case <-stop.requested:
 			stop.begin(c)
-		case <-stop.ended:
+		case <-stop.deadline:
 			return nil
 		case <-ticker.C:
-			c.takeWaiting()
-			if err := c.tryHeld(working); err != nil {
-				c.abandon()
+			c.drainInbox()
+			if err := c.retryDeferred(workCtx); err != nil {
+				c.failPending()
 				return err
 			}
 		case message := <-c.replica.inbox:
@@ -107,45 +108,45 @@
 			c.propose(p)
 		case request := <-c.replica.requests:
 			request(c)
-		case <-c.nextTurn():
-			c.takeWaiting()
-			c.passTime(boottime.Now())
+		case <-c.replayDue():
+			c.drainInbox()
+			c.advanceTicks(boottime.Now())
 		}
-		c.takeWaiting()
-		if err := c.carryOutAll(working); err != nil {
-			c.abandon()
+		c.drainInbox()
+		if err := c.processAllReady(workCtx); err != nil {
+			c.failPending()
 			return err
 		}
 		stop.check(c)
 	}
 }
 
-// passTime makes up for the ticks since the last call. On a leader all of them
-// count: its ages are told in ticks and must not be understated. Elsewhere a
-// long standstill was this process's own and says nothing of the leader, whose
-// heartbeats may still be on their way in: counted in full, it would start an
-// election after every pause of a busy machine.
-func (c *core) passTime(now boottime.Time) {
-	c.heldUp(holdUps{turn: now.Sub(c.lastTick)})
+// advanceTicks makes up for the ticks since the last call. On a leader all of them
+// count: its ages are measured in ticks and must not be understated. On other replicas a
+// long gap is a pause of this process and gives no information on the leader, whose
+// heartbeats may still be queued: counting it in full would start an election after
+// every pause of a busy machine.
+func (c *core) advanceTicks(now boottime.Time) {
+	c.recordDelays(delays{tickGap: now.Sub(c.lastTick)})
 	missed := int(now.Sub(c.lastTick) / c.tick)
 	c.lastTick = c.lastTick.Add(time.Duration(missed) * c.tick)
 	c.node.ObservePause(missed)
-	most := heartbeatTicks
+	limit := heartbeatTicks
 	if c.node.Status().Role == consensus.Leader {
-		most = maxMissedTicks
+		limit = maxMissedTicks
 	}
-	for range min(missed, most) {
+	for range min(missed, limit) {
 		c.node.Tick()
 	}
 }
 
-func (c *core) heldUp(seen holdUps) {
-	c.strain.note(time.Now(), strainWindow*c.replica.config.ElectionTimeout, seen)
+func (c *core) recordDelays(observed delays) {
+	c.delayTracker.record(time.Now(), delayWindow*c.replica.config.ElectionTimeout, observed)
 }
 
-// takeWaiting takes the messages that have gathered, so that one sync serves
-// all of them.
-func (c *core) takeWaiting() {
+// drainInbox processes the messages that have queued up, so that one sync serves all of
+// them.
+func (c *core) drainInbox() {
 	for range maxMessages {
 		select {
 		case message := <-c.replica.inbox:
@@ -156,11 +157,11 @@
 	}
 }
 
-// step hands over one message. One meant for an earlier identity of this
-// instance is refused, which is how a wiped disk stays out. While the disk is full
-// messages are lost, as on a link that is cut.
+// step passes one message to consensus. Messages for an earlier identity of this
+// instance are refused, which keeps a replica with a wiped disk out of the log. While
+// the disk is full, messages are dropped, as on a partitioned link.
 func (c *core) step(message *consensuspb.Message) {
-	if c.held != nil {
+	if c.deferred != nil {
 		messagesDropped.Add(1)
 		return
 	}
@@ -173,13 +174,14 @@
 	}
 }
 
-// carryOutAll does all that the log asks for; of a start it applies one part.
+// processAllReady processes all pending Readys. During replay it returns after each one
+// that commits entries.
 //
-// After the start everything that is committed is applied before the next turn. That
-// holds up proposals while the state is behind, and a leader then says of no state
-// that it is complete before it is.
-func (c *core) carryOutAll(ctx context.Context) error {
-	if c.held != nil {
+// After replay everything that is committed is applied before the next pass of the loop.
+// This delays proposals while the state is behind, but a leader never reports a state as
+// complete before it is.
+func (c *core) processAllReady(ctx context.Context) error {
+	if c.deferred != nil {
 		return c.failure
 	}
 	for c.failure == nil {
@@ -187,9 +189,9 @@
 		if !ok {
 			break
 		}
-		err := c.carryOut(ctx, ready)
+		err := c.processReady(ctx, ready)
 		if disk.MayTryAgain(err) {
-			c.hold(ready, err)
+			c.deferReady(ready, err)
 			return nil
 		}
 		if err != nil {
@@ -199,31 +201,32 @@
 			break
 		}
 	}
-	c.answerReads()
+	c.completeReads()
 	c.publishView()
 	c.checkReplay()
 	c.snapshotWhenDue()
 	return c.failure
 }
 
-// carryOut does one Ready in its order. The leader's appends may leave before
-// its own sync: an entry commits once a quorum has synced it, the leader counts
-// itself only at Advance, after its sync, and a crash before that merely takes
-// an entry from it that the others keep or replace (thesis, 10.2.1). No message
-// that promises something of this replica is among them.
-func (c *core) carryOut(ctx context.Context, ready consensus.Ready) error {
+// processReady processes one Ready in the required order. The leader's appends may be
+// sent before its own sync: an entry commits once a quorum has synced it, the leader
+// counts itself only at Advance, after its sync, and a crash before that merely removes
+// an entry from its log that the others keep or replace (Ongaro's Raft thesis, 10.2.1).
+// The early messages contain none that depends on this replica's own durable state.
+func (c *core) processReady(ctx context.Context, ready consensus.Ready) error {
 	c.links.send(ready.Messages[:ready.Early])
-	return c.finish(ctx, ready)
+	return c.finishReady(ctx, ready)
 }
 
-// finish does what follows the early messages. On a full disk it has done nothing.
-func (c *core) finish(ctx context.Context, ready consensus.Ready) error {
+// finishReady does everything that follows the early messages. If the disk is full, it
+// fails without any effect.
+func (c *core) finishReady(ctx context.Context, ready consensus.Ready) error {
 	if ready.Hard != nil || len(ready.Entries) > 0 {
 		began := time.Now()
 		if err := c.disk.log.Append(ready.Hard, ready.Entries); err != nil {
 			return err
 		}
-		c.heldUp(holdUps{sync: time.Since(began)})
+		c.recordDelays(delays{sync: time.Since(began)})
 		syncs.Add(1)
 	}
 	if ready.Hard != nil {
@@ -233,7 +236,7 @@
 	if err := c.apply(ready.Committed); err != nil {
 		return err
 	}
-	c.takeReadStates(ready.Reads)
+	c.assignReadIndexes(ready.Reads)
 	if ready.Fetch != nil {
 		c.startFetch(ctx, ready.Fetch)
 	}
@@ -241,8 +244,9 @@
 	return nil
 }
 
-// apply moves the state over committed entries, publishes it, and only then
-// answers: who has the answer finds its effect in the state.
+// apply applies committed entries to the state, publishes the state, and only then
+// completes the proposals, so that a caller with the result finds its effect in the
+// state.
 func (c *core) apply(entries []*consensuspb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -263,13 +267,13 @@
 	c.replica.feed.Applied(applied...)
 	c.replica.published.Publish(c.state)
 	for i, entry := range entries {
-		c.answer(entry, results[i])
+		c.completeProposal(entry, results[i])
 	}
 	return nil
 }
 
-// decode gives the command of an entry. A proposal's own object is not used: its
-// caller may have given up and gone on with it.
+// decode returns the command of an entry. The proposal's own object is not reused: its
+// caller may have given up and modified it since.
 func decode(entry *consensuspb.Entry) (*peerpb.LogEntry, error) {
 	logEntry := &peerpb.LogEntry{Index: entry.Index, Term: entry.Term}
 	if entry.Kind != consensuspb.EntryKind_ENTRY_KIND_COMMAND {
@@ -277,18 +281,18 @@
 	}
 	logEntry.Command = &controlpb.Command{}
 	if err := proto.Unmarshal(entry.Data, logEntry.Command); err != nil {
-		return nil, failure.Wrap(failure.Corrupt, err, "command %d does not decode", entry.Index)
+		return nil, failure.Wrap(failure.Corrupt, err, "decode command %d", entry.Index)
 	}
 	if !store.Understands(logEntry.Command) {
-		return nil, failure.New(failure.CommandTooNew, "command %d is of a newer process", entry.Index)
+		return nil, failure.New(failure.CommandTooNew, "command %d was written by a newer version", entry.Index)
 	}
 	return logEntry, nil
 }
 
-// abandon ends what waits when the disk has failed: nobody can tell what
-// became of it.
-func (c *core) abandon() {
+// failPending fails the pending proposals with an unknown outcome after a failure of the
+// log.
+func (c *core) failPending() {
 	for index, p := range c.pending {
-		p.finish(nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "the log failed at entry %d", index))
+		p.finish(nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "the log failed before entry %d was applied", index))
 	}
 }
--- a/internal/coordination/replica/delays.go
+++ b/internal/coordination/replica/delays.go
@@ -9,45 +9,47 @@
 	"pinewinch.example/pinewinch/internal/coordination/recent"
 )
 
-// strain is what held this replica up lately. When a leader is lost it tells a process
-// that stood still, or waited for its disk, from a leader that fell silent.
-type strain struct {
-	// began is when the newer of two windows did.
-	began      time.Time
-	turn, sync recent.Max[time.Duration]
+// delayTracker tracks the longest recent delays of this replica. When the leader is
+// lost, they distinguish a pause of this process, or a slow disk, from a leader that
+// stopped sending.
+type delayTracker struct {
+	// began is the start of the newer of the two windows.
+	began         time.Time
+	tickGap, sync recent.Max[time.Duration]
 }
 
-// holdUps are those that are seen at one time.
-type holdUps struct {
-	// turn lies between two looks at the clock, sync is one append to the log.
-	turn, sync time.Duration
+// delays are observed together.
+type delays struct {
+	// tickGap is the time between two clock readings, sync the duration of one append to
+	// the log.
+	tickGap, sync time.Duration
 }
 
-// strainWindow, in election timeouts, is longer than the longest of them, after which an
-// election begins.
-const strainWindow = 3
+// delayWindow, in election timeouts, exceeds the longest randomised timeout after which
+// an election starts.
+const delayWindow = 3
 
-func (s *strain) note(now time.Time, window time.Duration, seen holdUps) {
-	if now.Sub(s.began) >= window {
-		s.turn.Rotate()
-		s.sync.Rotate()
-		s.began = now
+func (d *delayTracker) record(now time.Time, window time.Duration, observed delays) {
+	if now.Sub(d.began) >= window {
+		d.tickGap.Rotate()
+		d.sync.Rotate()
+		d.began = now
 	}
-	s.turn.Observe(seen.turn)
-	s.sync.Observe(seen.sync)
+	d.tickGap.Observe(observed.tickGap)
+	d.sync.Observe(observed.sync)
 }
 
-// fields are the longest hold-ups of the newest one to two windows, and for how long the
-// leader, or on a leader its quorum, had not been heard.
-func (s *strain) fields(before consensus.Status, tick time.Duration) logrus.Fields {
-	silent := before.LeaderAge
-	if before.Role == consensus.Leader {
-		silent = before.QuorumAge
+// fields returns the log fields with the longest delays of the newest one to two windows
+// and the time since the last contact with the leader or, on a leader, with its quorum.
+func (d *delayTracker) fields(previous consensus.Status, tick time.Duration) logrus.Fields {
+	sinceContact := previous.LeaderAge
+	if previous.Role == consensus.Leader {
+		sinceContact = previous.QuorumAge
 	}
 	return logrus.Fields{
-		"timeout_ms":      (time.Duration(before.ElectionTicks) * tick).Milliseconds(),
-		"silent_ms":       (time.Duration(silent) * tick).Milliseconds(),
-		"longest_turn_ms": s.turn.Value().Milliseconds(),
-		"longest_sync_ms": s.sync.Value().Milliseconds(),
+		"timeout_ms":      (time.Duration(previous.ElectionTicks) * tick).Milliseconds(),
+		"silent_ms":       (time.Duration(sinceContact) * tick).Milliseconds(),
+		"longest_turn_ms": d.tickGap.Value().Milliseconds(),
+		"longest_sync_ms": d.sync.Value().Milliseconds(),
 	}
 }
--- a/internal/coordination/replica/fetch_test.go
+++ b/internal/coordination/replica/fetch_test.go
@@ -10,14 +10,15 @@
 	"pinewinch.example/pinewinch/internal/state/snapshot"
 )
 
-// Replica after replica ends for the failed disk of the one that it fetches from.
-func TestAFailedDiskOfASourceIsNoFaultOfOnesOwn(t *testing.T) {
-	for told, want := range map[failure.Code]failure.Code{
+// Guards against replicas that end one after another because of the failed disk of the
+// replica from which they fetch.
+func TestSourceDiskFailureDoesNotFailFetcher(t *testing.T) {
+	for reported, want := range map[failure.Code]failure.Code{
 		failure.DiskFailed: failure.Unreachable,
 		failure.DiskFull:   failure.Unreachable,
 		failure.NotFound:   failure.NotFound,
 	} {
-		r := &Replica{peers: refusing(func() error { return failure.New(told, "the source says") })}
+		r := &Replica{peers: failingPeers(func() error { return failure.New(reported, "error of the source") })}
 		_, err := r.fetchChunk(context.Background(), "i2", snapshot.ID{Index: 7}, 0)
 		is.New(t).Equal(failure.From(err).Code, want)
 	}
--- a/internal/coordination/replica/forward_test.go
+++ b/internal/coordination/replica/forward_test.go
@@ -16,8 +16,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// callersTime is what a caller that waits for 3 s leaves a command.
-const callersTime = 2850 * time.Millisecond
+// callerTimeout is the time left for a command by a caller that waits for 3 s.
+const callerTimeout = 2850 * time.Millisecond
 
 func submission(id string) *controlpb.Command {
 	w := &controlpb.Workflow{Id: id, Queue: "q", Customer: "c", MaxAttempts: 1, Steps: []*controlpb.Step{{Count: 1, CoresMilli: 1}}}
@@ -28,22 +28,23 @@
 	return &controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: id, Queue: "q"}}}
 }
 
-// proposeFor proposes with a caller's time and tells how long that took.
+// proposeFor proposes a command with the timeout of a caller and returns how long it
+// took.
 func proposeFor(r *Replica, command *controlpb.Command) (*controlpb.Result, time.Duration, error) {
-	ctx, cancel := context.WithTimeout(background(), callersTime)
+	ctx, cancel := context.WithTimeout(background(), callerTimeout)
 	defer cancel()
 	began := time.Now()
 	result, err := r.Propose(ctx, command)
 	return result, time.Since(began), err
 }
 
-// nextLeader tells how long it takes until a replica knows another leader.
-func (m *mesh) nextLeader(asked, old *Replica) <-chan time.Duration {
+// nextLeader sends the time until a replica knows another leader.
+func (m *mesh) nextLeader(follower, old *Replica) <-chan time.Duration {
 	elected, began := make(chan time.Duration, 1), time.Now()
 	go func() {
 		for {
-			changed := asked.LeaderChanged()
-			if leader := asked.Leader(); leader != "" && leader != old.config.Instance {
+			changed := follower.LeaderChanged()
+			if leader := follower.Leader(); leader != "" && leader != old.config.Instance {
 				elected <- time.Since(began)
 				return
 			}
@@ -53,7 +54,8 @@
 	return elected
 }
 
-// A command that waits for a frozen leader until its deadline, though another one leads.
+// Guards against a command that waits for a paused leader until its deadline although
+// another replica leads.
 func TestCommandLeavesAFrozenLeader(t *testing.T) {
 	cases := map[string]struct {
 		command  *controlpb.Command
@@ -71,39 +73,40 @@
 				_, _, err := proposeFor(old, submission("known"))
 				is.NoErr(err)
 				time.Sleep(time.Second)
-				m.freeze(old.config.Instance)
-				asked := m.other(old)
-				elected := m.nextLeader(asked, old)
-				result, took, err := proposeFor(asked, c.command)
+				m.pause(old.config.Instance)
+				follower := m.other(old)
+				elected := m.nextLeader(follower, old)
+				result, took, err := proposeFor(follower, c.command)
 				t.Logf("took %s", took)
 				if !c.answered {
 					is.Equal(failure.From(err).NotRun, failure.NotRunUnknown)
-					is.Equal(took, callersTime)
+					is.Equal(took, callerTimeout)
 					return
 				}
 				is.NoErr(err)
 				is.Equal(result.Code, "")
-				is.True(took <= <-elected+lastPause)
+				is.True(took <= <-elected+maxRetryPause)
 			})
 		})
 	}
 }
 
-// Work run twice: a submission that a frozen leader had committed is sent to the next.
-func TestSecondTryOfACommittedWorkflowChangesNothing(t *testing.T) {
+// Guards against work that runs twice: a submission that a paused leader had committed
+// is sent to the next leader.
+func TestResendOfCommittedWorkflowChangesNothing(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		time.Sleep(time.Second)
-		m.freezing = old.config.Instance
-		asked := m.other(old)
-		first, _, err := proposeFor(asked, submission("w"))
+		m.pausesBeforeReply = old.config.Instance
+		follower := m.other(old)
+		first, _, err := proposeFor(follower, submission("w"))
 		is.NoErr(err)
 		is.Equal(first.Workflow.Id, "w")
 		next := m.leader()
 		is.True(next != old)
 		is.Equal(len(next.State().Jobs()), 1)
-		m.held[old.config.Instance] = []*peerpb.Propose{{Command: submission("w")}, {Command: submission("w")}}
-		m.thaw(old.config.Instance)
+		m.queued[old.config.Instance] = []*peerpb.Propose{{Command: submission("w")}, {Command: submission("w")}}
+		m.resume(old.config.Instance)
 		time.Sleep(2 * time.Second)
 		for _, r := range m.replicas {
 			is.NoErr(r.Fresh())
@@ -112,7 +115,7 @@
 	})
 }
 
-// A "not run" that is not true, since an earlier try may still be committed.
+// Guards against a wrong "not run" while an earlier attempt may still be committed.
 func TestRefusalSaysNothingOfAnEarlierTry(t *testing.T) {
 	lost := failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "answer lost")
 	cases := map[string]struct {
@@ -128,10 +131,10 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			inBubble(t, func(is *is.I, m *mesh) {
-				asked := 0
-				r := New(Config{Instance: "i1", ElectionTimeout: time.Second, Logger: silentLogger()}, answering(func() (*controlpb.Result, error) {
-					asked++
-					if asked == 1 {
+				calls := 0
+				r := New(Config{Instance: "i1", ElectionTimeout: time.Second, Logger: discardLogger()}, answeringPeers(func() (*controlpb.Result, error) {
+					calls++
+					if calls == 1 {
 						return nil, lost
 					}
 					return c.result, c.second
@@ -140,16 +143,16 @@
 				_, err := r.Propose(background(), c.command)
 				is.True(failure.Is(err, failure.OutcomeUnknown))
 				is.Equal(failure.From(err).NotRun, failure.NotRunUnknown)
-				is.Equal(asked, 2)
+				is.Equal(calls, 2)
 			})
 		})
 	}
 }
 
-// A caller that is kept until its deadline by a log that has failed.
-func TestClosedLogEndsTheTries(t *testing.T) {
+// Guards against a caller that is kept until its deadline by a log that has failed.
+func TestClosedLogEndsRetries(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
-		r := New(Config{Instance: "i1", Now: time.Now, Logger: silentLogger()}, answering(nil))
+		r := New(Config{Instance: "i1", Now: time.Now, Logger: discardLogger()}, answeringPeers(nil))
 		r.view.Store(&view{leader: "i1"})
 		close(r.ended)
 		_, took, err := proposeFor(r, submission("w"))
@@ -158,16 +161,16 @@
 	})
 }
 
-func silentLogger() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-// answering is peers that answer every command alike.
-type answering func() (*controlpb.Result, error)
+// answeringPeers answers every command by calling the function.
+type answeringPeers func() (*controlpb.Result, error)
 
-func (a answering) Call(context.Context, string, *peerpb.Call) (*peerpb.Reply, error) {
+func (a answeringPeers) Call(context.Context, string, *peerpb.Call) (*peerpb.Reply, error) {
 	result, err := a()
 	if err != nil {
 		return nil, err
@@ -175,11 +178,11 @@
 	return &peerpb.Reply{Body: &peerpb.Reply_Result{Result: result}}, nil
 }
 
-func (a answering) Messages(context.Context, string) (control.MessageStream, error) {
+func (a answeringPeers) Messages(context.Context, string) (control.MessageStream, error) {
 	return droppingStream{}, nil
 }
 
-// droppingStream loses every message.
+// droppingStream drops every message.
 type droppingStream struct{}
 
 func (droppingStream) Send(...*consensuspb.Message) error { return nil }
--- a/internal/coordination/replica/fulldisk.go
+++ b/internal/coordination/replica/fulldisk.go
@@ -12,79 +12,81 @@
 )
 
 const (
-	// openPause is between two tries to open a data folder on a full disk: a tenth
-	// of the shortest fault seen (4.5 s) is added to the time away at most.
-	openPause = 400 * time.Millisecond
-	// snapshotPauseTicks is how long after a failed snapshot the next one waits, so
-	// that a full disk is not written to the brim again and again.
-	snapshotPauseTicks = 25
+	// openRetryPause is the pause between two attempts to open a data folder on a full
+	// disk. It adds at most a tenth of the shortest fault observed (4.5 s) to the
+	// replica's downtime.
+	openRetryPause = 400 * time.Millisecond
+	// snapshotRetryTicks is the wait after a failed snapshot until the next one, so that
+	// a full disk is not filled up again and again.
+	snapshotRetryTicks = 25
 )
 
-// lacking says for want of what an access to the disk may be tried again later.
-func lacking(err error) string {
+// missingResource names the resource for lack of which a disk operation failed that may
+// be retried later.
+func missingResource(err error) string {
 	if failure.Is(err, failure.OutOfDescriptors) {
 		return "no file descriptor is left"
 	}
 	return "the disk is full"
 }
 
-// openWithRoom opens the data folder, and waits for room where the disk is full:
-// a process that ended would be started again into the same disk.
-func (r *Replica) openWithRoom(ctx context.Context) (*storage, *recovery, error) {
-	for told := false; ; told = true {
+// openWhenWritable opens the data folder and retries while the disk is full: a process
+// that ended would be restarted on the same disk.
+func (r *Replica) openWhenWritable(ctx context.Context) (*storage, *recovery, error) {
+	for logged := false; ; logged = true {
 		storage, recovered, err := openStorage(&r.config)
 		if !disk.MayTryAgain(err) {
 			return storage, recovered, err
 		}
-		if !told {
-			r.config.Logger.WithField("cause", err.Error()).Error(lacking(err) + ": the log waits to open")
+		if !logged {
+			r.config.Logger.WithField("cause", err.Error()).Error(missingResource(err) + ": waiting to open the log")
 		}
-		if !control.Pause(ctx, openPause) {
+		if !control.Pause(ctx, openRetryPause) {
 			return nil, nil, err
 		}
 	}
 }
 
-// hold keeps a Ready whose append found no room, or no descriptor for a new file. Until it is on disk this replica
-// takes no part in the log, as if it were cut off: nothing that it would say may
-// rest on what is not on its disk. The others hear nothing of it and, where it
-// led, elect another leader; it decides nothing, confirms no state and refuses
-// commands as not run.
-func (c *core) hold(ready consensus.Ready, cause error) {
-	c.held = &ready
+// deferReady keeps a Ready whose append failed for lack of free space, or of a
+// descriptor for a new file. Until it is on disk, this replica behaves as if it were
+// partitioned: none of its messages may depend on entries that are not on its disk. The
+// others receive nothing from it and, if it led, elect another leader; it makes no
+// decisions, confirms no state and rejects commands as not run.
+func (c *core) deferReady(ready consensus.Ready, cause error) {
+	c.deferred = &ready
 	diskFull.Add(1)
 	v := *c.replica.view.Load()
 	v.leading = false
 	c.replica.view.Store(&v)
 	c.replica.config.Logger.WithField("term", v.status.Term).WithField("role", v.status.Role.String()).
 		WithField("index", c.state.Index()).WithField("cause", cause.Error()).
-		Error(lacking(cause) + ": this replica leaves the log until there is room")
+		Error(missingResource(cause) + ": this replica leaves the log until there is room")
 }
 
-// tryHeld tries a held append again, and lets time pass once nothing is held. The
-// ticks that were missed then come before anything else: a leader that was away
-// for longer than its quorum's patience steps down first.
-func (c *core) tryHeld(ctx context.Context) error {
-	if c.held != nil {
-		ready := *c.held
-		err := c.finish(ctx, ready)
+// retryDeferred retries a deferred append and advances the ticks once nothing is
+// deferred. The missed ticks are processed before anything else: a leader that was away
+// for longer than its quorum timeout steps down first.
+func (c *core) retryDeferred(ctx context.Context) error {
+	if c.deferred != nil {
+		ready := *c.deferred
+		err := c.finishReady(ctx, ready)
 		if disk.MayTryAgain(err) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		c.held = nil
+		c.deferred = nil
 		c.replica.config.Logger.WithField("index", c.state.Index()).Info("there is room again: this replica is back in the log")
 	}
-	c.passTime(boottime.Now())
+	c.advanceTicks(boottime.Now())
 	return nil
 }
 
-// refuseWhileHeld tells whether the log is closed for want of room, and why.
-func (c *core) refuseWhileHeld() error {
-	if c.held == nil {
+// checkWritable returns an error while the log cannot be written.
+func (c *core) checkWritable() error {
+	if c.deferred == nil {
 		return nil
 	}
-	return failure.New(failure.NotReady, "this replica can't write its log")
+	return failure.New(failure.NotReady, "this replica cannot write its log")
 }
--- a/internal/coordination/replica/links.go
+++ b/internal/coordination/replica/links.go
@@ -10,16 +10,17 @@
 )
 
 const (
-	// linkQueue bounds the messages that wait for one peer.
-	linkQueue = 256
+	// linkQueueLength limits the messages queued for one peer.
+	linkQueueLength = 256
 	// redialPause is the pause after a stream could not be opened.
 	redialPause = 100 * time.Millisecond
 )
 
-// links carry consensus messages to the other instances, each with a goroutine
-// of its own, so that one that is cut off holds up no other.
+// links sends consensus messages to the other instances, each from a goroutine of its
+// own, so that an unreachable instance does not delay the others.
 //
-// A link is made with the first message to its peer. One goroutine uses links.
+// A queue is created with the first message to its peer. links is not safe for
+// concurrent use.
 type links struct {
 	ctx    context.Context
 	peers  Peers
@@ -28,21 +29,21 @@
 
 func newLinks() *links { return &links{queues: map[string]chan *consensuspb.Message{}} }
 
-// start makes links carry until ctx ends; what is sent before is dropped.
+// start enables sending until ctx ends; messages sent before are dropped.
 func (l *links) start(ctx context.Context, peers Peers) { l.ctx, l.peers = ctx, peers }
 
 func (l *links) queue(peer string) chan *consensuspb.Message {
 	queue, ok := l.queues[peer]
 	if !ok && l.ctx != nil {
-		queue = make(chan *consensuspb.Message, linkQueue)
+		queue = make(chan *consensuspb.Message, linkQueueLength)
 		l.queues[peer] = queue
-		go carry(l.ctx, l.peers, peer, queue)
+		go sendLoop(l.ctx, l.peers, peer, queue)
 	}
 	return queue
 }
 
-// send queues messages; where a queue is full they are dropped, which consensus
-// takes like a loss on the link.
+// send queues messages. If a queue is full, they are dropped, which consensus handles
+// like a loss on the link.
 func (l *links) send(messages []*consensuspb.Message) {
 	for _, message := range messages {
 		select {
@@ -53,15 +54,15 @@
 	}
 }
 
-// carry sends what is queued for one peer, over one stream after another.
-func carry(ctx context.Context, peers Peers, peer string, queue chan *consensuspb.Message) {
+// sendLoop sends the messages queued for one peer and reopens the stream after an error.
+func sendLoop(ctx context.Context, peers Peers, peer string, queue chan *consensuspb.Message) {
 	var stream control.MessageStream
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-queue:
-			batch := gather(first, queue)
+			batch := collectBatch(first, queue)
 			if stream == nil {
 				stream = dial(ctx, peers, peer)
 			}
@@ -85,9 +86,9 @@
 	return stream
 }
 
-func gather(first *consensuspb.Message, queue chan *consensuspb.Message) []*consensuspb.Message {
+func collectBatch(first *consensuspb.Message, queue chan *consensuspb.Message) []*consensuspb.Message {
 	batch := []*consensuspb.Message{first}
-	for len(batch) < linkQueue {
+	for len(batch) < linkQueueLength {
 		select {
 		case next := <-queue:
 			batch = append(batch, next)
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// changePatience bounds one change of members, mostly the time in which a
-	// new one catches up.
-	changePatience = time.Minute
-	// catchUpPause is the pause between two looks at a learner's progress.
-	catchUpPause = 50 * time.Millisecond
+	// changeTimeout limits one change of members; most of it is the time in which a new
+	// member catches up.
+	changeTimeout = time.Minute
+	// catchUpPollInterval is the pause between two checks of a learner's progress.
+	catchUpPollInterval = 50 * time.Millisecond
 )
 
-// ChangeMembers changes who keeps the log, one step at a time: the new replica
-// becomes a learner, catches up, becomes a voter, and only then the old one
-// leaves, so that no step lowers how many losses the cluster stands. A change
-// that broke off halfway is ended by asking for it again.
+// ChangeMembers changes the members of the log one step at a time: the new replica
+// becomes a learner, catches up and becomes a voter, and only then the old one is
+// removed, so that no step reduces the number of failures that the cluster tolerates. An
+// interrupted change is completed by requesting it again.
 func (r *Replica) ChangeMembers(ctx context.Context, change *peerpb.ChangeMembers) error {
-	ctx, cancel := context.WithTimeout(ctx, changePatience)
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	if !r.IsLeader() {
 		return r.forwardChange(ctx, change)
@@ -54,50 +54,50 @@
 	return err
 }
 
-// addMember makes the replica of an instance a voter and gives its identity.
+// addMember makes the replica of an instance a voter and returns its identity.
 func (r *Replica) addMember(ctx context.Context, instance string) (string, error) {
-	met, err := r.meet(ctx, instance)
+	introduction, err := r.fetchIntroduction(ctx, instance)
 	if err != nil {
 		return "", err
 	}
-	if met.Identity == "" {
+	if introduction.Identity == "" {
 		return "", failure.New(failure.BadRequest, "%s has no data folder", instance)
 	}
-	if r.memberOf(met.Identity) == nil {
-		learner := &consensuspb.Member{Identity: met.Identity, Instance: instance}
+	if r.memberOf(introduction.Identity) == nil {
+		learner := &consensuspb.Member{Identity: introduction.Identity, Instance: instance}
 		if err := r.reconfigure(ctx, func(c *consensuspb.Configuration) { c.Members = append(c.Members, learner) }); err != nil {
 			return "", err
 		}
 	}
-	if r.memberOf(met.Identity).GetVoter() {
-		return met.Identity, nil
+	if r.memberOf(introduction.Identity).GetVoter() {
+		return introduction.Identity, nil
 	}
-	if err := r.waitCaughtUp(ctx, met.Identity); err != nil {
+	if err := r.waitCaughtUp(ctx, introduction.Identity); err != nil {
 		return "", err
 	}
-	return met.Identity, r.reconfigure(ctx, func(c *consensuspb.Configuration) {
+	return introduction.Identity, r.reconfigure(ctx, func(c *consensuspb.Configuration) {
 		for _, member := range c.Members {
-			member.Voter = member.Voter || member.Identity == met.Identity
+			member.Voter = member.Voter || member.Identity == introduction.Identity
 		}
 	})
 }
 
-// removeMember removes the members with that identity or on that instance,
-// but for the one just added there.
-func (r *Replica) removeMember(ctx context.Context, name, but string) error {
+// removeMember removes the members with the given identity or on the given instance,
+// except the one just added there.
+func (r *Replica) removeMember(ctx context.Context, name, except string) error {
 	for _, member := range r.Status().Configuration.GetMembers() {
 		named := member.Identity == name || member.Instance == name
-		if !named || member.Identity == but {
+		if !named || member.Identity == except {
 			continue
 		}
 		err := r.reconfigure(ctx, func(c *consensuspb.Configuration) {
-			var staying []*consensuspb.Member
+			var remaining []*consensuspb.Member
 			for _, m := range c.Members {
 				if m.Identity != member.Identity {
-					staying = append(staying, m)
+					remaining = append(remaining, m)
 				}
 			}
-			c.Members = staying
+			c.Members = remaining
 		})
 		if err != nil {
 			return err
@@ -125,16 +125,16 @@
 		if !r.IsLeader() {
 			return failure.New(failure.NotLeader, "leadership was lost while %s caught up", identity)
 		}
-		if !control.Pause(ctx, catchUpPause) {
+		if !control.Pause(ctx, catchUpPollInterval) {
 			return failure.Wrap(failure.NotCaughtUp, ctx.Err(), "%s did not catch up", identity)
 		}
 	}
 }
 
-// reconfigure commits the newest configuration with one change.
+// reconfigure commits the newest configuration with one edit.
 func (r *Replica) reconfigure(ctx context.Context, edit func(*consensuspb.Configuration)) error {
 	p := &proposal{done: make(chan outcome, 1)}
-	err := r.ask(ctx, func(c *core) { c.reconfigure(p, edit) })
+	err := r.runInCore(ctx, func(c *core) { c.reconfigure(p, edit) })
 	if err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 }
 
 func (c *core) reconfigure(p *proposal, edit func(*consensuspb.Configuration)) {
-	if err := c.refuseWhileHeld(); err != nil {
+	if err := c.checkWritable(); err != nil {
 		p.finish(nil, err)
 		return
 	}
@@ -156,10 +156,11 @@
 		return
 	}
 	p.term = status.Term
-	c.expect(index, p)
+	c.trackProposal(index, p)
 }
 
-// Role is this replica's part in the log.
+// Role returns the role of this replica: leader, voter, learner, or empty for a replica
+// that is not a member.
 func (r *Replica) Role() string {
 	status := r.Status()
 	member := r.memberOf(status.Identity)
--- a/internal/coordination/replica/members_test.go
+++ b/internal/coordination/replica/members_test.go
@@ -11,7 +11,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// A leader that removes itself and leaves its caller, or the others, without an answer.
+// Guards against a leader that removes itself and leaves its caller, or the other
+// replicas, without an answer.
 func TestLeaderIsReplacedByAnotherInstance(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
@@ -33,17 +34,17 @@
 	})
 }
 
-// A removal after which nothing can be committed, not even the way back.
+// Guards against a removal after which nothing can be committed, not even its reversal.
 func TestRemovalThatLeavesNoQuorumIsRefused(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		leader := startAll(m)
-		gone := m.other(leader)
-		m.setCut(gone.config.Instance, true)
+		partitioned := m.other(leader)
+		m.setCut(partitioned.config.Instance, true)
 		time.Sleep(5 * time.Second)
 		leader = m.leader()
 		live := ""
 		for _, voter := range voters {
-			if voter != gone.config.Instance && voter != leader.config.Instance {
+			if voter != partitioned.config.Instance && voter != leader.config.Instance {
 				live = voter
 			}
 		}
@@ -54,7 +55,8 @@
 	})
 }
 
-// A replacement that the lost leader began and nobody ends, so that the disk never votes.
+// Guards against a replacement that a lost leader began and nobody completes, so that
+// the new replica never votes.
 func TestChangeThatALeaderLeftIsEndedByTheNext(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
--- a/internal/coordination/replica/mesh_test.go
+++ b/internal/coordination/replica/mesh_test.go
@@ -22,7 +22,7 @@
 	"pinewinch.example/pinewinch/internal/state/disk/disktest"
 )
 
-// mesh joins replicas in memory; instances can be cut off and started again.
+// mesh connects replicas in memory; instances can be partitioned and restarted.
 type mesh struct {
 	t        testing.TB
 	mu       sync.Mutex
@@ -30,19 +30,19 @@
 	disks    map[string]*disktest.FS
 	stops    map[string]func() error
 	cut      map[string]bool
-	// frozen instances take calls and messages and say nothing.
-	frozen map[string]bool
-	// held are the commands that frozen instances find when they go on.
-	held map[string][]*peerpb.Propose
-	// freezing is an instance that stands still before its next answer leaves.
-	freezing string
-	// remembering is an instance without a disk that holds control state.
-	remembering string
+	// paused instances accept calls and messages and answer none.
+	paused map[string]bool
+	// queued are the commands that paused instances process when they resume.
+	queued map[string][]*peerpb.Propose
+	// pausesBeforeReply is an instance that is paused before its next reply is sent.
+	pausesBeforeReply string
+	// instanceWithCluster is an instance without a disk that has the control state.
+	instanceWithCluster string
 	// entries is Config.SnapshotEntries.
 	entries uint64
-	// folder is where the data folders are; empty for disks in memory.
+	// folder contains the data folders; empty for disks in memory.
 	folder string
-	// syncDelay is added to each sync there.
+	// syncDelay is added to each sync on the disks in folder.
 	syncDelay time.Duration
 }
 
@@ -53,8 +53,8 @@
 func newMesh(t testing.TB) *mesh {
 	m := &mesh{
 		t: t, replicas: map[string]*Replica{}, disks: map[string]*disktest.FS{},
-		stops: map[string]func() error{}, cut: map[string]bool{}, frozen: map[string]bool{},
-		held: map[string][]*peerpb.Propose{},
+		stops: map[string]func() error{}, cut: map[string]bool{}, paused: map[string]bool{},
+		queued: map[string][]*peerpb.Propose{},
 	}
 	t.Cleanup(func() {
 		for _, stop := range m.stops {
@@ -64,7 +64,7 @@
 	return m
 }
 
-// start runs an instance on its disk, or on a new one.
+// start runs an instance on its existing disk, or on a new one.
 func (m *mesh) start(instance string) *Replica {
 	if m.disks[instance] == nil {
 		m.disks[instance] = disktest.New()
@@ -98,7 +98,7 @@
 	return m.disks[instance]
 }
 
-// crash ends an instance and leaves on its disk what was synced.
+// crash stops an instance and keeps only the synced content of its disk.
 func (m *mesh) crash(instance string) {
 	m.setCut(instance, true)
 	_ = m.stops[instance]()
@@ -112,81 +112,81 @@
 	m.cut[instance] = cut
 }
 
-// freeze makes an instance silent, as one whose machine stands still: a call to it
+// pause makes an instance unresponsive, like one whose machine is paused: a call to it
 // hangs until its caller gives up, and messages are lost without an error.
-func (m *mesh) freeze(instance string) {
+func (m *mesh) pause(instance string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.frozen[instance] = true
+	m.paused[instance] = true
 }
 
-// thaw lets an instance go on: it serves what it had taken.
-func (m *mesh) thaw(instance string) {
+// resume ends the pause of an instance, which then serves the queued commands.
+func (m *mesh) resume(instance string) {
 	m.mu.Lock()
-	held := m.held[instance]
-	delete(m.held, instance)
-	m.frozen[instance] = false
+	queued := m.queued[instance]
+	delete(m.queued, instance)
+	m.paused[instance] = false
 	m.mu.Unlock()
-	for _, propose := range held {
-		// Who sent it is gone; what it does is seen in the state.
+	for _, propose := range queued {
+		// The sender has given up; the effect is checked in the state.
 		_, _ = m.replicas[instance].ServePropose(background(), propose)
 	}
 }
 
-// hang waits as for an instance that says nothing, and fails as the transport does
-// once a call was written.
-func (m *mesh) hang(ctx context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error) {
+// hangCall waits like a call to an unresponsive instance and fails as the transport does
+// after a call was written.
+func (m *mesh) hangCall(ctx context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error) {
 	if propose := call.GetPropose(); propose != nil {
 		m.mu.Lock()
-		m.held[to] = append(m.held[to], proto.CloneOf(propose))
+		m.queued[to] = append(m.queued[to], proto.CloneOf(propose))
 		m.mu.Unlock()
 	}
-	return m.unanswered(ctx, to)
+	return m.awaitTimeout(ctx, to)
 }
 
-func (m *mesh) unanswered(ctx context.Context, to string) (*peerpb.Reply, error) {
+func (m *mesh) awaitTimeout(ctx context.Context, to string) (*peerpb.Reply, error) {
 	<-ctx.Done()
-	return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "%s is silent", to)
+	return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "%s does not respond", to)
 }
 
-// freezesNow tells whether an instance that has served a command stands still before
-// it answers.
-func (m *mesh) freezesNow(instance string) bool {
+// pauseBeforeReply reports whether an instance that has served a command is to be paused
+// before it replies, and pauses it.
+func (m *mesh) pauseBeforeReply(instance string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.freezing != instance {
+	if m.pausesBeforeReply != instance {
 		return false
 	}
-	m.freezing = ""
-	m.frozen[instance] = true
+	m.pausesBeforeReply = ""
+	m.paused[instance] = true
 	return true
 }
 
-// silent tells whether nothing passes between two instances, without an error.
-func (m *mesh) silent(from, to string) bool {
+// unresponsive reports whether messages between two instances are lost without an error.
+func (m *mesh) unresponsive(from, to string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.frozen[from] || m.frozen[to]
+	return m.paused[from] || m.paused[to]
 }
 
-// setRoom says how many more bytes fit on a replica's disk; negative: no limit.
-func (m *mesh) setRoom(r *Replica, room int) { m.disks[r.config.Instance].SetRoom(room) }
+// setFreeSpace sets how many more bytes fit on a replica's disk; negative: no limit.
+func (m *mesh) setFreeSpace(r *Replica, bytes int) { m.disks[r.config.Instance].SetRoom(bytes) }
 
-// reach gives a replica unless a cut lies between.
-func (m *mesh) reach(from, to string) (*Replica, error) {
+// reachable returns a replica unless it is partitioned from the sender.
+func (m *mesh) reachable(from, to string) (*Replica, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.replicas[to] == nil || m.cut[from] || m.cut[to] {
-		return nil, failure.New(failure.Unreachable, "%s is cut off", to)
+		return nil, failure.New(failure.Unreachable, "%s is partitioned", to)
 	}
 	return m.replicas[to], nil
 }
 
-// leader waits for one that decides.
+// leader waits for a leader that may decide and returns it.
 func (m *mesh) leader() *Replica {
 	for range 1000 {
 		for _, r := range m.replicas {
-			if r.IsLeader() && !m.cut[r.config.Instance] && !m.frozen[r.config.Instance] {
+			if r.IsLeader() && !m.cut[r.config.Instance] && !m.paused[r.config.Instance] {
 				return r
 			}
 		}
@@ -212,20 +212,20 @@
 
 func (e endpoint) Call(ctx context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error) {
 	call.From = e.self
-	if to == e.mesh.remembering && call.GetIntroduce() != nil {
+	if to == e.mesh.instanceWithCluster && call.GetIntroduce() != nil {
 		return &peerpb.Reply{Body: &peerpb.Reply_Introduction{Introduction: &peerpb.Introduction{Cluster: true}}}, nil
 	}
-	if e.mesh.silent(e.self, to) {
-		return e.mesh.hang(ctx, to, call)
+	if e.mesh.unresponsive(e.self, to) {
+		return e.mesh.hangCall(ctx, to, call)
 	}
-	r, err := e.mesh.reach(e.self, to)
+	r, err := e.mesh.reachable(e.self, to)
 	if err != nil {
 		return nil, err
 	}
 	if propose := call.GetPropose(); propose != nil {
 		result, err := r.ServePropose(ctx, proto.CloneOf(propose))
-		if e.mesh.freezesNow(to) {
-			return e.mesh.unanswered(ctx, to)
+		if e.mesh.pauseBeforeReply(to) {
+			return e.mesh.awaitTimeout(ctx, to)
 		}
 		if err != nil {
 			return nil, err
@@ -245,10 +245,10 @@
 }
 
 func (s stream) Send(messages ...*consensuspb.Message) error {
-	if s.mesh.silent(s.self, s.to) {
+	if s.mesh.unresponsive(s.self, s.to) {
 		return nil
 	}
-	r, err := s.mesh.reach(s.self, s.to)
+	r, err := s.mesh.reachable(s.self, s.to)
 	if err != nil {
 		return err
 	}
@@ -260,7 +260,7 @@
 
 func (s stream) Close() error { return nil }
 
-// drain is a command whose effect is easy to look up.
+// drain returns a command whose effect is easy to check.
 func drain(upstream string) *controlpb.Command {
 	return &controlpb.Command{Op: &controlpb.Command_Drain{Drain: &controlpb.SetDrain{Upstream: upstream, Drained: true}}}
 }
--- a/internal/coordination/replica/propose.go
+++ b/internal/coordination/replica/propose.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// proposePatience bounds a proposal whose caller set no deadline.
-	proposePatience = 10 * time.Second
-	// firstPause and lastPause bound the pauses between two tries.
-	firstPause = 20 * time.Millisecond
-	lastPause  = 100 * time.Millisecond
+	// proposeTimeout limits a proposal whose caller set no deadline.
+	proposeTimeout = 10 * time.Second
+	// minRetryPause and maxRetryPause limit the pauses between two attempts.
+	minRetryPause = 20 * time.Millisecond
+	maxRetryPause = 100 * time.Millisecond
 )
 
-// proposal is a command, or a configuration, on its way through the log.
+// proposal is a command, or a configuration, that is not yet applied.
 type proposal struct {
 	data []byte
 	term uint64
@@ -36,34 +36,34 @@
 
 func (p *proposal) finish(result *controlpb.Result, err error) { p.done <- outcome{result, err} }
 
-// Propose commits one command, by way of the leader, and gives its result. A
-// command that surely did not run is tried again until ctx ends. One with an
-// unknown outcome is tried again only where it is idempotent, or under a client
-// session, where a second run is answered with the first one's result; else the
-// outcome stays unknown, also when a later try was refused as not run.
+// Propose commits one command through the leader and returns its result. A command that
+// certainly did not run is retried until ctx ends. One with an unknown outcome is
+// retried only if it is idempotent, or belongs to a client session, where a second
+// execution returns the result of the first; otherwise the outcome stays unknown, even
+// if a later attempt was rejected as not run.
 func (r *Replica) Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposePatience)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	pauses := backoff.NewExponentialBackOff()
-	pauses.InitialInterval, pauses.MaxInterval = firstPause, lastPause
+	pauses.InitialInterval, pauses.MaxInterval = minRetryPause, maxRetryPause
 	attempts := control.NewProposeAttempts(command)
 	for {
 		result, err := r.proposeOnce(ctx, attempts, command)
 		if err == nil {
 			return attempts.FinalResult(result)
 		}
-		again := attempts.RecordFailure(err) && !r.closed()
-		if !again && !worthRetry(command, err) || !control.Pause(ctx, pauses.NextBackOff()) {
+		resend := attempts.RecordFailure(err) && !r.closed()
+		if !resend && !retryable(command, err) || !control.Pause(ctx, pauses.NextBackOff()) {
 			return nil, attempts.FinalError(err)
 		}
-		if again {
-			r.logAgain(err)
+		if resend {
+			r.logResend(err)
 		}
 	}
 }
 
-// closed tells whether Run has ended: no later try would do more here, and the caller
-// would hold up the stop until its time is over.
+// closed reports whether Run has ended: further attempts would fail here as well, and
+// the caller would delay the stop until its deadline.
 func (r *Replica) closed() bool {
 	select {
 	case <-r.ended:
@@ -73,14 +73,14 @@
 	}
 }
 
-// logAgain tells that a command is sent again though it may have run.
-func (r *Replica) logAgain(err error) {
+// logResend logs that a command is sent again although it may have run.
+func (r *Replica) logResend(err error) {
 	resent.Add(1)
 	r.config.Logger.WithField("leader", r.Leader()).WithField("code", failure.From(err).Code).
 		WithField("detail", err.Error()).Info("command sent again")
 }
 
-func worthRetry(command *controlpb.Command, err error) bool {
+func retryable(command *controlpb.Command, err error) bool {
 	f := failure.From(err)
 	if f.NotRun != failure.NotRunTrue {
 		return f.Code == failure.OutcomeUnknown && command.Client != ""
@@ -111,7 +111,7 @@
 	return reply.GetResult(), nil
 }
 
-// submit puts a command into this leader's log and waits until it is applied.
+// submit appends a command to this leader's log and waits until it is applied.
 func (r *Replica) submit(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
 	command.TimeMs = r.config.Now().UnixMilli()
 	data, err := proto.Marshal(command)
@@ -119,13 +119,13 @@
 		return nil, failure.Wrap(failure.Internal, err, "encode a command")
 	}
 	if len(data) > maxBatchBytes {
-		return nil, failure.New(failure.TooLarge, "command of %d bytes", len(data))
+		return nil, failure.New(failure.TooLarge, "command of %d bytes exceeds the limit", len(data))
 	}
 	p := &proposal{data: data, done: make(chan outcome, 1)}
 	select {
 	case r.proposals <- p:
 	default:
-		return nil, failure.New(failure.Overloaded, "%d commands wait for the log", queueLength)
+		return nil, failure.New(failure.Overloaded, "proposal queue is full: %d commands", proposalQueueLength)
 	}
 	return r.wait(ctx, p)
 }
@@ -135,14 +135,14 @@
 	case o := <-p.done:
 		return o.result, o.err
 	case <-ctx.Done():
-		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "command not confirmed")
+		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "no result of the command before the deadline")
 	case <-r.ended:
 		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "the log was closed")
 	}
 }
 
-// propose appends a command and whatever waits behind it, so that one sync
-// serves all: under load batches grow by themselves.
+// propose appends a command and all others that are queued, so that one sync serves all:
+// batches grow with the load.
 func (c *core) propose(first *proposal) {
 	batch := []*proposal{first}
 	for bytes := len(first.data); len(batch) < maxBatch && bytes < maxBatchBytes; {
@@ -169,45 +169,45 @@
 	term := c.node.Status().Term
 	for i, p := range batch {
 		p.term = term
-		c.expect(index+uint64(i), p)
+		c.trackProposal(index+uint64(i), p)
 	}
 }
 
 func (c *core) proposeAll(data [][]byte) (uint64, error) {
-	if err := c.refuseWhileHeld(); err != nil {
+	if err := c.checkWritable(); err != nil {
 		return 0, err
 	}
 	return c.node.Propose(data...)
 }
 
-// expect keeps a proposal until its index is applied. An earlier one there gave
-// way in this replica's log only: another replica may still hold its entry, win
-// the next term and commit it. To call it not run would have the command sent
+// trackProposal keeps a proposal until its index is applied. An earlier proposal at that
+// index was overwritten in this replica's log only: another replica may still have its
+// entry, win the next term and commit it. Reported as not run, the command would be sent
 // again and perhaps run twice.
-func (c *core) expect(index uint64, p *proposal) {
+func (c *core) trackProposal(index uint64, p *proposal) {
 	if earlier := c.pending[index]; earlier != nil {
-		earlier.finish(nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "entry %d gave way before it was committed", index))
+		earlier.finish(nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "entry %d was overwritten before it was committed", index))
 	}
 	c.pending[index] = p
 }
 
-// answer ends the proposal of an applied entry. With another term there, that
-// proposal's entry was replaced before it committed and never will be.
-func (c *core) answer(entry *consensuspb.Entry, result *controlpb.Result) {
+// completeProposal completes the proposal of an applied entry. If the entry has another
+// term, the proposal's own entry was replaced before it committed and never will be.
+func (c *core) completeProposal(entry *consensuspb.Entry, result *controlpb.Result) {
 	p := c.pending[entry.Index]
 	if p == nil {
 		return
 	}
 	delete(c.pending, entry.Index)
 	if p.term != entry.Term {
-		c.replaced(p)
+		c.finishReplaced(p)
 		return
 	}
 	p.finish(result, nil)
 }
 
-func (c *core) replaced(p *proposal) {
-	f := failure.New(failure.NotLeader, "the command was replaced by another leader's")
+func (c *core) finishReplaced(p *proposal) {
+	f := failure.New(failure.NotLeader, "the command's entry was replaced by an entry of another leader")
 	f.Leader = c.replica.Leader()
 	p.finish(nil, f)
 }
--- a/internal/coordination/replica/propose_test.go
+++ b/internal/coordination/replica/propose_test.go
@@ -8,12 +8,13 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// A "not run" for an entry that gave way here and is committed later by another leader.
+// Guards against a "not run" for an entry that was overwritten here and is committed
+// later by another leader.
 func TestAnEntryThatGaveWayIsNotSaidToBeNotRun(t *testing.T) {
 	is := is.New(t)
 	c := &core{pending: map[uint64]*proposal{}}
 	first := &proposal{term: 2, done: make(chan outcome, 1)}
-	c.expect(7, first)
-	c.expect(7, &proposal{term: 4, done: make(chan outcome, 1)})
+	c.trackProposal(7, first)
+	c.trackProposal(7, &proposal{term: 4, done: make(chan outcome, 1)})
 	is.Equal(failure.From((<-first.done).err).NotRun, failure.NotRunUnknown)
 }
--- a/internal/coordination/replica/replay.go
+++ b/internal/coordination/replica/replay.go
@@ -6,22 +6,22 @@
 	"github.com/sirupsen/logrus"
 )
 
-// replay is the part of a start in which a replica applies again what its log
-// holds behind its newest snapshot. Callers wait for it after a loss of all
-// replicas, so its length is told.
+// replay is the part of a start in which a replica applies the entries of its log after
+// its newest snapshot. Callers wait for it after a loss of all replicas, so its duration
+// is logged.
 //
-// It goes in parts, and messages, ticks and requests come between two of them: a
-// replica that applied 2,677 entries in one go asked for votes only 1.9 s after it
-// had started, and the others waited with it.
+// It is done in parts, and messages, ticks and requests are processed between two of
+// them: a replica that applied 2,677 entries at once requested votes only 1.9 s after it
+// had started, and the others had to wait for it.
 type replay struct {
 	began time.Time
 	from  uint64
-	// upTo is the commit index that the disk knew; 0 once it is applied.
+	// upTo is the commit index recovered from disk; 0 once it is applied.
 	upTo uint64
 }
 
-// beginReplay tells what the disk gave back.
-func (c *core) beginReplay(recovered *recovery) {
+// startReplay records and logs what was recovered from disk.
+func (c *core) startReplay(recovered *recovery) {
 	commit := c.node.Status().Commit
 	c.replay = replay{began: time.Now(), from: c.state.Index(), upTo: commit}
 	c.replica.config.Logger.WithFields(logrus.Fields{
@@ -30,25 +30,26 @@
 	}).Info("log opened")
 }
 
-// replaying tells whether entries that the disk knew to be committed are not applied.
+// replaying reports whether entries known to be committed at the start are not yet
+// applied.
 func (c *core) replaying() bool { return c.state.Index() < c.replay.upTo }
 
-// always can be received from at any time.
-var always = func() <-chan struct{} {
+// alwaysReady is a closed channel: receiving from it never blocks.
+var alwaysReady = func() <-chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
-// nextTurn is ready at once while a part of a start is left.
-func (c *core) nextTurn() <-chan struct{} {
-	if c.held == nil && c.replaying() {
-		return always
+// replayDue returns a channel that is ready while replay is incomplete.
+func (c *core) replayDue() <-chan struct{} {
+	if c.deferred == nil && c.replaying() {
+		return alwaysReady
 	}
 	return nil
 }
 
-// checkReplay tells once when everything that the disk knew to be committed is applied.
+// checkReplay logs once that all entries known to be committed at the start are applied.
 func (c *core) checkReplay() {
 	if c.replay.upTo == 0 || c.replaying() {
 		return
--- a/internal/coordination/replica/replay_test.go
+++ b/internal/coordination/replica/replay_test.go
@@ -11,19 +11,20 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// changes commits a number of changes, one after the other.
-func changes(is *is.I, leader *Replica, number int) {
+// commitChanges commits a number of changes sequentially.
+func commitChanges(is *is.I, leader *Replica, number int) {
 	is.Helper()
 	for i := range number {
 		propose(is, leader, fmt.Sprint("w", i%70))
 	}
 }
 
-// Callers refused while a start applies all entries since its last snapshot.
+// Guards against callers refused while a start applies many entries since the last
+// snapshot.
 func TestStartAppliesFewEntries(t *testing.T) {
-	const mostApplied = 2_000
+	const maxApplied = 2_000
 	inBubble(t, func(is *is.I, m *mesh) {
-		changes(is, startAll(m), 4_500)
+		commitChanges(is, startAll(m), 4_500)
 		m.crash("i2")
 		_, recovered, err := openStorage(&Config{Instance: "i2", Files: m.disks["i2"], DataFolder: "/data/i2"})
 		is.NoErr(err)
@@ -33,16 +34,17 @@
 				behind++
 			}
 		}
-		is.True(behind <= mostApplied)
+		is.True(behind <= maxApplied)
 	})
 }
 
-// No election for as long as the replicas apply what their disks hold.
+// Guards against a cluster without elections while the replicas apply the entries on
+// their disks.
 func TestReplicaTakesPartWhileItApplies(t *testing.T) {
-	const mostAtOnce = 256
+	const maxEntriesPerPart = 256
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 100_000
-		changes(is, startAll(m), 1_500)
+		commitChanges(is, startAll(m), 1_500)
 		m.crash("i2")
 		config := m.replicas["i2"].config
 		config.Files = m.disks["i2"]
@@ -52,19 +54,19 @@
 		c, err := newCore(New(config, nil), storage, recovered)
 		is.NoErr(err)
 		for applied := c.state.Index(); applied < recovered.consensus.Hard.Commit; applied = c.state.Index() {
-			is.NoErr(c.carryOutAll(background()))
+			is.NoErr(c.processAllReady(background()))
 			is.True(c.state.Index() > applied)
-			is.True(c.state.Index()-applied <= mostAtOnce)
+			is.True(c.state.Index()-applied <= maxEntriesPerPart)
 		}
 	})
 }
 
-// A start in parts goes on by itself until all is applied: at one part a tick a start
-// with 1,500 entries would keep callers waiting for half a second more.
-func TestStartInPartsTakesNoTime(t *testing.T) {
+// Replay in parts must continue without waiting for ticks: at one part per tick a start
+// with 1,500 entries would delay callers by another half a second.
+func TestReplayInPartsContinuesWithoutDelay(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 100_000
-		changes(is, startAll(m), 1_500)
+		commitChanges(is, startAll(m), 1_500)
 		m.crash("i2")
 		started, r := time.Now(), m.start("i2")
 		<-r.opened
@@ -74,11 +76,12 @@
 	})
 }
 
-// Accepted work said to be unknown, by a leader that has applied only a part of its log.
+// Guards against accepted work reported as unknown by a leader that has applied only a
+// part of its log.
 func TestStartInPartsEndsWhole(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 100_000
-		changes(is, startAll(m), 1_500)
+		commitChanges(is, startAll(m), 1_500)
 		want := m.leader().State().Index()
 		for _, voter := range voters {
 			m.crash(voter)
@@ -94,10 +97,10 @@
 				}
 				fresh++
 				is.True(m.replicas[voter].State().Index() >= want)
-				is.Equal(drainedOf(m.replicas[voter].State()), 70)
+				is.Equal(drainedCount(m.replicas[voter].State()), 70)
 			}
 		}
 	})
 }
 
-func drainedOf(state *store.State) int { return len(state.Snapshot().Drained) }
+func drainedCount(state *store.State) int { return len(state.Snapshot().Drained) }
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -1,7 +1,7 @@
-// Package replica drives one member of the replicated log: it carries out what
-// package consensus decides, with the log and the snapshots on disk, the
-// messages to the other members and the state machine. One goroutine owns all
-// of these; readers take immutable states from an atomic pointer.
+// Package replica runs one member of the replicated log: it executes what package
+// consensus decides, with the log and the snapshots on disk, the messages to the other
+// members and the state machine. One goroutine owns all of these; readers load immutable
+// states from an atomic pointer.
 package replica
 
 import (
@@ -25,64 +25,65 @@
 )
 
 const (
-	// electionTicks divides the shortest election timeout.
+	// electionTicks is the minimum election timeout in ticks.
 	electionTicks = 10
-	// maxElectionTicks bounds it where it follows silences and standstills.
+	// maxElectionTicks limits the election timeout where it adapts to observed heartbeat
+	// gaps and pauses.
 	maxElectionTicks = 4 * electionTicks
-	// heartbeatTicks lets three heartbeats be lost before an election.
+	// heartbeatTicks allows three heartbeats to be lost before an election.
 	heartbeatTicks = 3
-	// maxAppendBytes and maxInflight bound what is on its way to one member.
+	// maxAppendBytes and maxInflight limit the unacknowledged appends to one member.
 	maxAppendBytes = 128 << 10
 	maxInflight    = 32
-	// queueLength bounds the proposals that wait for the owner; more are refused.
-	queueLength = 4096
-	// inboxLength bounds the messages that wait for it; more are dropped, which
-	// consensus takes like a loss on the link.
+	// proposalQueueLength limits the proposals queued for the log; more are refused.
+	proposalQueueLength = 4096
+	// inboxLength limits the messages queued for the log; more are dropped, which
+	// consensus handles like a loss on the link.
 	inboxLength = 1024
 )
 
 var (
-	commits         = expvar.NewInt("control_commits")
-	syncs           = expvar.NewInt("control_syncs")
-	forwarded       = expvar.NewInt("control_forwarded")
-	resent          = expvar.NewInt("control_resent")
-	elections       = expvar.NewInt("control_leader_changes")
-	messagesDropped = expvar.NewInt("control_messages_dropped")
-	messagesRefused = expvar.NewInt("control_messages_refused")
-	snapshotsMade   = expvar.NewInt("control_snapshots_made")
-	snapshotsGot    = expvar.NewInt("control_snapshots_installed")
-	diskFull        = expvar.NewInt("control_disk_full")
-	currentTerm     = expvar.NewInt("control_term")
-	currentIndex    = expvar.NewInt("control_applied_index")
+	commits            = expvar.NewInt("control_commits")
+	syncs              = expvar.NewInt("control_syncs")
+	forwarded          = expvar.NewInt("control_forwarded")
+	resent             = expvar.NewInt("control_resent")
+	elections          = expvar.NewInt("control_leader_changes")
+	messagesDropped    = expvar.NewInt("control_messages_dropped")
+	messagesRefused    = expvar.NewInt("control_messages_refused")
+	snapshotsMade      = expvar.NewInt("control_snapshots_made")
+	snapshotsInstalled = expvar.NewInt("control_snapshots_installed")
+	diskFull           = expvar.NewInt("control_disk_full")
+	currentTerm        = expvar.NewInt("control_term")
+	currentIndex       = expvar.NewInt("control_applied_index")
 )
 
-// Peers carries calls and messages to other instances.
+// Peers sends calls and messages to other instances.
 type Peers interface {
 	Call(ctx context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error)
 	Messages(ctx context.Context, to string) (control.MessageStream, error)
 }
 
-// Config of a replica.
+// Config is the configuration of a replica.
 type Config struct {
 	Instance   string
 	DataCentre string
-	// Voters are the instances that found the cluster; the first of them
-	// decides with which identities.
+	// Voters are the instances that bootstrap the cluster; the first of them determines
+	// their identities in the initial configuration.
 	Voters []string
-	// Peers lists all other instances that are known now.
+	// Peers lists all other instances currently known.
 	Peers      func() []string
 	Files      disk.FS
 	DataFolder string
-	// ElectionTimeout is the shortest time without a leader's word before an
-	// election; the longest is twice that.
+	// ElectionTimeout is the minimum time without contact with a leader before an
+	// election; the maximum is twice that.
 	ElectionTimeout time.Duration
 	FreshnessBound  time.Duration
-	// SnapshotEntries and SnapshotBytes are how much log lies between two
-	// snapshots at most; the defaults where 0.
+	// SnapshotEntries and SnapshotBytes limit the log between two snapshots; 0 selects
+	// the defaults.
 	SnapshotEntries uint64
 	SnapshotBytes   int64
 	Rand            *rand.Rand
-	// Now stamps commands; no decision is made by it.
+	// Now provides the timestamps of commands; no decision depends on it.
 	Now    func() time.Time
 	Logger *logrus.Logger
 }
@@ -94,27 +95,28 @@
 	published *control.PublishedState
 	feed      *feed.Server
 	view      atomic.Pointer[view]
-	// leaderChanged is raised after the view names another leader, or none.
+	// leaderChanged is raised after the view has another leader, or none.
 	leaderChanged control.Signal
-	// confirmed is a time of this process's clock at which the published state
-	// held everything committed.
+	// confirmed is a time on this process's clock at which the published state included
+	// everything committed.
 	confirmed atomic.Pointer[boottime.Time]
 	proposals chan *proposal
 	inbox     chan *consensuspb.Message
-	// requests run on the goroutine that owns the log.
+	// requests are run by the goroutine that owns the log.
 	requests chan func(*core)
 	// opened is closed when the log is open; disk is set before.
 	opened chan struct{}
 	disk   *storage
-	// foundedWith is the first configuration, where this replica founded.
-	foundedWith atomic.Pointer[consensuspb.Configuration]
-	// introductions tell founding when a peer has come.
+	// initialConfiguration is the first configuration, if this replica took part in the
+	// bootstrap.
+	initialConfiguration atomic.Pointer[consensuspb.Configuration]
+	// introductions wakes the bootstrap when a new peer appears.
 	introductions introductions
 	// ended is closed when Run ends.
 	ended chan struct{}
 }
 
-// New makes a replica; Run opens its log.
+// New returns a replica; Run opens its log.
 func New(config Config, peers Peers) *Replica {
 	if config.SnapshotEntries == 0 {
 		config.SnapshotEntries = defaultSnapshotEntries
@@ -126,7 +128,7 @@
 		config:    config,
 		peers:     peers,
 		published: control.NewPublishedState(),
-		proposals: make(chan *proposal, queueLength),
+		proposals: make(chan *proposal, proposalQueueLength),
 		inbox:     make(chan *consensuspb.Message, inboxLength),
 		requests:  make(chan func(*core)),
 		opened:    make(chan struct{}),
@@ -137,32 +139,32 @@
 	return r
 }
 
-// State is the newest applied state.
+// State returns the newest applied state.
 func (r *Replica) State() *store.State { return r.published.State() }
 
-// Changed gives a channel that is closed when the state next changes.
+// Changed returns a channel that is closed by the next change of the state.
 func (r *Replica) Changed() <-chan struct{} { return r.published.Changed() }
 
-// Leader names the instance that leads, as far as is known.
+// Leader returns the instance of the current leader; empty if none is known.
 func (r *Replica) Leader() string { return r.view.Load().leader }
 
-// LeaderChanged gives a channel that is closed when another leader is known next.
+// LeaderChanged returns a channel that is closed by the next change of the known leader.
 func (r *Replica) LeaderChanged() <-chan struct{} { return r.leaderChanged.Next() }
 
-// IsLeader tells whether this instance leads and has applied everything that
-// earlier leaders committed: a decision made before that would repeat theirs.
+// IsLeader reports whether this instance leads and has applied everything that earlier
+// leaders committed: an earlier decision would repeat theirs.
 func (r *Replica) IsLeader() bool { return r.view.Load().leading }
 
-// Member tells whether this replica is a member of the newest configuration.
+// Member reports whether this replica is a member of the newest configuration.
 func (r *Replica) Member() bool { return r.view.Load().member }
 
-// Status is what this replica knows of the log.
+// Status returns this replica's view of the log.
 func (r *Replica) Status() consensus.Status { return r.view.Load().status }
 
 // Path implements feed.Source.
 func (r *Replica) Path() []string { return []string{r.config.Instance} }
 
-// Deliver takes one consensus message; where the owner is behind it is dropped.
+// Deliver queues one consensus message; if the queue is full, the message is dropped.
 func (r *Replica) Deliver(message *consensuspb.Message) {
 	select {
 	case r.inbox <- message:
@@ -171,11 +173,11 @@
 	}
 }
 
-// Run takes part in the log until ctx ends; it fails when the disk does. A
-// leader hands over before it ends.
+// Run takes part in the log until ctx ends; it returns an error if the disk fails. A
+// leader transfers leadership before it ends.
 func (r *Replica) Run(ctx context.Context) error {
 	defer close(r.ended)
-	storage, recovered, err := r.openWithRoom(ctx)
+	storage, recovered, err := r.openWhenWritable(ctx)
 	if err != nil {
 		return err
 	}
@@ -185,18 +187,19 @@
 		return err
 	}
 	r.disk = storage
-	r.foundedWith.Store(storage.first)
+	r.initialConfiguration.Store(storage.initial)
 	close(r.opened)
-	working, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	core.links.start(working, r.peers)
-	go r.confirmFromLeader(working)
-	go r.found(working)
-	return core.run(ctx, working)
+	core.links.start(workCtx, r.peers)
+	go r.confirmPeriodically(workCtx)
+	go r.bootstrap(workCtx)
+	return core.run(ctx, workCtx)
 }
 
-// ask runs a request on the owner's goroutine and waits for its end.
-func (r *Replica) ask(ctx context.Context, request func(*core)) error {
+// runInCore runs a request on the goroutine that owns the log and waits until it is
+// done.
+func (r *Replica) runInCore(ctx context.Context, request func(*core)) error {
 	done := make(chan struct{})
 	wrapped := func(c *core) {
 		request(c)
@@ -205,7 +208,7 @@
 	select {
 	case r.requests <- wrapped:
 	case <-ctx.Done():
-		return failure.Wrap(failure.Overloaded, ctx.Err(), "the log did not take the request")
+		return failure.Wrap(failure.Overloaded, ctx.Err(), "the log did not accept the request in time")
 	case <-r.ended:
 		return failure.New(failure.NotReady, "the log is closed")
 	}
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -38,8 +38,8 @@
 	is.NoErr(err)
 }
 
-// The leader loses power right after it answered. What it answered is found at
-// the next leader and, after its restart, at the old one.
+// The leader loses power directly after it answered. What it acknowledged must be found
+// at the next leader and, after a restart, at the old one.
 func TestAcknowledgedSurvivesTheLeader(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		for i := range 6 {
@@ -66,7 +66,8 @@
 	return m.leader()
 }
 
-// A leader that is cut off answers from an old state, or acknowledges what is not committed.
+// Guards against a partitioned leader that serves an old state, or acknowledges what is
+// not committed.
 func TestCutOffLeaderNeitherAnswersNorConfirms(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
@@ -103,8 +104,8 @@
 	})
 }
 
-// A sync fails on the leader. Its process must end with the disk's failure
-// and not answer the command, and the others go on without it.
+// A sync fails on the leader. Its process must end with the disk failure and not answer
+// the command, and the others continue without it.
 func TestFailedSyncStopsTheReplica(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
@@ -118,12 +119,13 @@
 	})
 }
 
-// A leader that ends for a full disk, or confirms what is not on it.
+// Guards against a leader that ends because of a full disk, or confirms what is not on
+// its disk.
 func TestLeaderWithAFullDiskLeavesTheLogAndComesBack(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		propose(is, old, "before")
-		m.setRoom(old, 0)
+		m.setFreeSpace(old, 0)
 		waiting := make(chan error, 1)
 		go func() {
 			_, err := old.submit(background(), drain("during"))
@@ -137,7 +139,7 @@
 		is.True(next != old)
 		propose(is, next, "after")
 		is.True(failure.Is(old.readAsLeader(background()), failure.NotReady))
-		m.setRoom(old, -1)
+		m.setFreeSpace(old, -1)
 		time.Sleep(3 * time.Second)
 		is.NoErr(old.Fresh())
 		is.True(old.State().Drained("after"))
@@ -147,7 +149,8 @@
 	})
 }
 
-// A leader that ended for a failed disk because it had no descriptor left for a snapshot.
+// Guards against a leader that ends with a disk failure because it had no descriptor
+// left for a snapshot.
 func TestLeaderOutOfDescriptorsLeadsOn(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 5
@@ -165,7 +168,8 @@
 	})
 }
 
-// A log with a gap, since a snapshot was marked ahead of an append that waits for room.
+// Guards against a gap in the log, from a snapshot that was marked before a deferred
+// append was written.
 func TestSnapshotIsNotInstalledAheadOfAHeldAppend(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		leader := startAll(m)
@@ -173,20 +177,20 @@
 		other := m.other(leader)
 		done := make(chan uint64)
 		other.post(func(c *core) {
-			c.held = &consensus.Ready{}
+			c.deferred = &consensus.Ready{}
 			before := c.state.Index()
 			ahead := &consensuspb.SnapshotMeta{Index: before + 100, Term: 9, Configuration: c.node.Status().Configuration}
 			data, _ := encodeState(store.Restore(&controlpb.Snapshot{Index: before + 100}))
 			c.install(&snapshot.Snapshot{Meta: ahead, Data: data}, nil)
-			c.held = nil
+			c.deferred = nil
 			done <- c.state.Index() - before
 		})
 		is.Equal(<-done, uint64(0))
 	})
 }
 
-// A replica starts on a full disk. It waits for room instead of ending, and then
-// takes part.
+// A replica starts on a full disk. It must wait for free space instead of ending, and
+// then take part.
 func TestStartOnAFullDiskWaitsForRoom(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.disks["i3"] = disktest.New()
@@ -195,7 +199,7 @@
 		m.start("i1")
 		m.start("i2")
 		time.Sleep(2 * time.Second)
-		m.setRoom(late, -1)
+		m.setFreeSpace(late, -1)
 		propose(is, m.leader(), "after")
 		time.Sleep(5 * time.Second)
 		is.NoErr(late.Fresh())
@@ -203,8 +207,9 @@
 	})
 }
 
-// A placement decided twice, by a leader that lacks what the one before had committed.
-func TestLeadsOnlyWithAllThatWasCommitted(t *testing.T) {
+// Guards against a placement decided twice, by a leader that has not applied what the
+// previous leader committed.
+func TestLeadsOnlyAfterApplyingAllCommitted(t *testing.T) {
 	is := is.New(t)
 	at := func(index uint64) *store.State { return store.Restore(&controlpb.Snapshot{Index: index}) }
 	c := &core{state: at(5)}
@@ -214,15 +219,15 @@
 	is.True(!c.leads(status))
 	c.state = at(7)
 	is.True(c.leads(status))
-	status.Commit = 9 // a command on its way is no reason to stop
+	status.Commit = 9 // a pending command must not interrupt the leadership
 	is.True(c.leads(status))
 	status.Term, status.Commit = 4, 9
 	is.True(!c.leads(status))
 }
 
-// A leader was last recognised by a quorum ten ticks ago. Its state is at least
-// that old; told as fresh, followers would trust it too long.
-func TestLeadersAgeCountsFromTheQuorum(t *testing.T) {
+// A leader was last recognised by a quorum ten ticks ago. Its state is at least that
+// old; reported as fresh, followers would trust it for too long.
+func TestLeaderAgeIsMeasuredFromQuorumContact(t *testing.T) {
 	is := is.New(t)
 	r := New(Config{FreshnessBound: time.Second}, nil)
 	c := &core{replica: r, tick: 10 * time.Millisecond, lastTick: boottime.Now()}
@@ -232,29 +237,29 @@
 	is.True(age >= 110*time.Millisecond)
 }
 
-// A healthy leader deposed because a member of the log stood still itself.
+// Guards against a healthy leader that is deposed because a follower itself was paused.
 func TestOwnStandstillIsNoSilenceOfTheLeader(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		follower := m.other(startAll(m))
 		for follower.Leader() == "" {
 			time.Sleep(10 * time.Millisecond)
 		}
-		var stood, silent consensus.Role
-		is.NoErr(follower.ask(background(), func(c *core) {
-			c.passTime(c.lastTick.Add(10 * time.Second))
-			stood = c.node.Status().Role
+		var afterPause, afterSilence consensus.Role
+		is.NoErr(follower.runInCore(background(), func(c *core) {
+			c.advanceTicks(c.lastTick.Add(10 * time.Second))
+			afterPause = c.node.Status().Role
 			for range 2 * electionTicks {
-				c.passTime(c.lastTick.Add(c.tick))
+				c.advanceTicks(c.lastTick.Add(c.tick))
 			}
-			silent = c.node.Status().Role
+			afterSilence = c.node.Status().Role
 		}))
-		is.Equal(stood, consensus.Follower)
-		is.Equal(silent, consensus.PreCandidate)
+		is.Equal(afterPause, consensus.Follower)
+		is.Equal(afterSilence, consensus.PreCandidate)
 	})
 }
 
-// A leader that is asked to stop hands over first: callers wait milliseconds
-// instead of an election timeout.
+// A leader that is asked to stop transfers leadership first: callers wait for
+// milliseconds instead of an election timeout.
 func TestGracefulStopHandsOver(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
@@ -267,15 +272,15 @@
 	})
 }
 
-// A command's answer is lost and a second try is refused as not run. The
-// caller must hear that the outcome is unknown: the first try may have run.
-func TestUnknownStaysUnknown(t *testing.T) {
+// The answer to a command is lost and a second attempt is rejected as not run. The
+// caller must receive an unknown outcome, since the first attempt may have run.
+func TestUnknownOutcomeStaysUnknown(t *testing.T) {
 	cases := map[string]struct {
 		command *controlpb.Command
-		asked   int
+		calls   int
 	}{
-		"without a session it is not tried again": {drain("w"), 1},
-		"under a session it is":                   {&controlpb.Command{Client: "operator", Sequence: 1}, 2},
+		"not retried without a session": {drain("w"), 1},
+		"retried under a session":       {&controlpb.Command{Client: "operator", Sequence: 1}, 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -284,24 +289,28 @@
 					failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "answer lost"),
 					failure.New(failure.Overloaded, "full"),
 				}
-				asked := 0
-				r := New(Config{Instance: "i1"}, refusing(func() error { asked++; return answers[asked-1] }))
+				calls := 0
+				r := New(Config{Instance: "i1"}, failingPeers(func() error { calls++; return answers[calls-1] }))
 				r.view.Store(&view{leader: "i2"})
 				_, err := r.Propose(background(), c.command)
 				is.Equal(failure.From(err).NotRun, failure.NotRunUnknown)
-				is.Equal(asked, c.asked)
+				is.Equal(calls, c.calls)
 			})
 		})
 	}
 }
 
-type refusing func() error
+type failingPeers func() error
 
-func (f refusing) Call(context.Context, string, *peerpb.Call) (*peerpb.Reply, error) { return nil, f() }
-func (f refusing) Messages(context.Context, string) (control.MessageStream, error)   { return nil, f() }
+func (f failingPeers) Call(context.Context, string, *peerpb.Call) (*peerpb.Reply, error) {
+	return nil, f()
+}
+func (f failingPeers) Messages(context.Context, string) (control.MessageStream, error) {
+	return nil, f()
+}
 
-// After 1,000 changes a replica restarts: it stands at a snapshot and a short
-// tail, and all three give the same bytes.
+// A replica restarts after 1,000 changes. It recovers from a snapshot and a short tail
+// of the log, and all three replicas encode the same bytes.
 func TestRestartAfterManyChanges(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 300
--- a/internal/coordination/replica/serve.go
+++ b/internal/coordination/replica/serve.go
@@ -14,16 +14,16 @@
 	return r.feed.Serve(ctx, follow, stream)
 }
 
-// ServePropose answers a command that another instance sent. It is not sent on:
-// a command could go round for ever between two that each take the other for
-// the leader.
+// ServePropose executes a command forwarded by another instance. It is not forwarded
+// again: a command could circulate forever between two instances that each take the
+// other for the leader.
 func (r *Replica) ServePropose(ctx context.Context, propose *peerpb.Propose) (*controlpb.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposePatience)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	return r.submit(ctx, propose.Command)
 }
 
-// ServeReplica answers the calls that replicas make among themselves.
+// ServeReplica answers the calls between replicas.
 func (r *Replica) ServeReplica(ctx context.Context, call *peerpb.Call) (*peerpb.Reply, error) {
 	select {
 	case <-r.opened:
@@ -32,8 +32,8 @@
 	}
 	switch body := call.Body.(type) {
 	case *peerpb.Call_Introduce:
-		r.introductions.heard(call.From)
-		return &peerpb.Reply{Body: &peerpb.Reply_Introduction{Introduction: r.introduce()}}, nil
+		r.introductions.peerIntroduced(call.From)
+		return &peerpb.Reply{Body: &peerpb.Reply_Introduction{Introduction: r.introduction()}}, nil
 	case *peerpb.Call_Confirm:
 		confirmation, err := r.serveConfirm(ctx, body.Confirm)
 		if err != nil {
--- a/internal/coordination/replica/snapshots.go
+++ b/internal/coordination/replica/snapshots.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// defaultSnapshotEntries bounds what a start applies again, and so how long callers
-	// are refused after a loss of all replicas: an entry of a busy system of 350 workers
-	// takes up to 0.7 ms of a core that has 0.64 (2,677 entries in 2 s), and a replica
-	// whose disk was wiped has them all to catch up with. A snapshot there has 0.5 MB,
-	// written every 12 s or more.
+	// defaultSnapshotEntries limits the entries that a start replays, and so how long
+	// callers are refused after a loss of all replicas: an entry of a busy system of 350
+	// workers takes up to 0.7 ms on a processor share of 0.64 cores (2,677 entries in 2
+	// s), and a replica whose disk was wiped has to apply all of them. A snapshot of
+	// that system has 0.5 MB and is written every 12 s or more.
 	defaultSnapshotEntries = 1_000
 	defaultSnapshotBytes   = 16 << 20
-	// keptEntries stay in memory behind a snapshot, so that a member that was
-	// away for a moment catches up without one.
-	keptEntries = 5_000
-	// chunkBytes is the size of a part of a snapshot on the wire.
+	// retainedEntries stay in memory after a snapshot, so that a member that was briefly
+	// away catches up without one.
+	retainedEntries = 5_000
+	// chunkBytes is the size of a chunk of a snapshot on the wire.
 	chunkBytes = 256 << 10
 )
 
-// saving is the state of the snapshots made here.
+// saving is the status of this replica's own snapshots.
 type saving struct {
 	running bool
-	// index of the newest, and bytes of commands applied since.
+	// index of the newest snapshot, and bytes of commands applied since.
 	index uint64
 	bytes int64
-	// notBefore is set after a snapshot that found no room.
+	// notBefore is set after a snapshot that failed for lack of free space.
 	notBefore time.Time
 }
 
-// snapshotWhenDue begins a snapshot beside the owner: a State never changes, so
-// encoding and writing it holds up no command.
+// snapshotWhenDue starts a snapshot in a goroutine of its own: a State is immutable, so
+// encoding and writing it delays no command.
 func (c *core) snapshotWhenDue() {
 	due := c.state.Index()-c.saving.index >= c.replica.config.SnapshotEntries || c.saving.bytes >= c.replica.config.SnapshotBytes
 	if c.saving.running || !due || c.state.Index() == c.saving.index || time.Now().Before(c.saving.notBefore) {
@@ -65,7 +65,7 @@
 	return disk.snapshots.Save(&snapshot.Snapshot{Meta: meta, Data: data})
 }
 
-// post hands a request to the owner without waiting for its end.
+// post queues a request for the goroutine that owns the log without waiting for its end.
 func (r *Replica) post(request func(*core)) {
 	select {
 	case r.requests <- request:
@@ -73,8 +73,8 @@
 	}
 }
 
-// saved marks a durable snapshot in the log and drops what both kept
-// snapshots cover.
+// saved marks a durable snapshot in the log and removes the entries that are covered by
+// both retained snapshots.
 func (c *core) saved(meta *consensuspb.SnapshotMeta, err error) {
 	c.saving.running = false
 	if err == nil {
@@ -84,7 +84,7 @@
 		err = c.disk.log.Compact(c.disk.snapshots.Oldest())
 	}
 	if disk.MayTryAgain(err) {
-		c.snapshotLater(err)
+		c.postponeSnapshot(err)
 		return
 	}
 	if err != nil {
@@ -92,20 +92,20 @@
 		return
 	}
 	snapshotsMade.Add(1)
-	if meta.Index > keptEntries {
-		c.node.Compact(meta.Index - keptEntries)
+	if meta.Index > retainedEntries {
+		c.node.Compact(meta.Index - retainedEntries)
 	}
 }
 
-// snapshotLater leaves the log as long as it is: the state is whole without the
+// postponeSnapshot leaves the log as long as it is: the state is complete without the
 // snapshot, and the next one covers it.
-func (c *core) snapshotLater(cause error) {
-	c.saving.notBefore = time.Now().Add(snapshotPauseTicks * c.tick)
+func (c *core) postponeSnapshot(cause error) {
+	c.saving.notBefore = time.Now().Add(snapshotRetryTicks * c.tick)
 	c.replica.config.Logger.WithField("index", c.saving.index).WithField("cause", cause.Error()).Warn("no room for a snapshot")
 	c.saving.index = c.disk.newestSnapshot()
 }
 
-// startFetch fetches the leader's snapshot beside the owner.
+// startFetch fetches the leader's snapshot in a goroutine of its own.
 func (c *core) startFetch(ctx context.Context, fetch *consensus.Fetch) {
 	if c.fetching {
 		return
@@ -118,8 +118,8 @@
 	}()
 }
 
-// fetchSnapshot receives the newest snapshot of an instance. An interrupted one
-// is resumed where that instance still has it.
+// fetchSnapshot receives the newest snapshot of an instance. An interrupted transfer is
+// resumed if that instance still has the snapshot.
 func (r *Replica) fetchSnapshot(ctx context.Context, disk *storage, from string) (*snapshot.Snapshot, error) {
 	id, resumed := disk.snapshots.Resumable()
 	s, err := r.receive(ctx, disk, from, id)
@@ -159,13 +159,14 @@
 }
 
 func (r *Replica) fetchChunk(ctx context.Context, from string, id snapshot.ID, offset int64) (*snapshot.Chunk, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposePatience)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	ask := &peerpb.FetchSnapshot{Index: id.Index, Term: id.Term, Offset: offset}
-	reply, err := r.peers.Call(ctx, from, &peerpb.Call{Body: &peerpb.Call_FetchSnapshot{FetchSnapshot: ask}})
+	request := &peerpb.FetchSnapshot{Index: id.Index, Term: id.Term, Offset: offset}
+	reply, err := r.peers.Call(ctx, from, &peerpb.Call{Body: &peerpb.Call_FetchSnapshot{FetchSnapshot: request}})
 	if failure.Is(err, failure.DiskFailed) || disk.MayTryAgain(err) {
-		// The source's disk, and not this replica's: that would end its process.
-		return nil, failure.Wrap(failure.Unreachable, err, "%s can't read its snapshot", from)
+		// The disk of the source failed, not this replica's, whose failure would end the
+		// process.
+		return nil, failure.Wrap(failure.Unreachable, err, "%s cannot read its snapshot", from)
 	}
 	if err != nil {
 		return nil, err
@@ -179,9 +180,9 @@
 	}, nil
 }
 
-// serveChunk gives a part of a snapshot of this replica.
-func (r *Replica) serveChunk(ask *peerpb.FetchSnapshot) (*peerpb.SnapshotChunk, error) {
-	id := snapshot.ID{Index: ask.Index, Term: ask.Term}
+// serveChunk returns a chunk of one of this replica's snapshots.
+func (r *Replica) serveChunk(request *peerpb.FetchSnapshot) (*peerpb.SnapshotChunk, error) {
+	id := snapshot.ID{Index: request.Index, Term: request.Term}
 	if id == (snapshot.ID{}) {
 		newest, ok := r.disk.snapshots.Newest()
 		if !ok {
@@ -189,16 +190,16 @@
 		}
 		id = newest
 	}
-	chunk, err := r.disk.snapshots.ReadChunk(id, ask.Offset, chunkBytes)
+	chunk, err := r.disk.snapshots.ReadChunk(id, request.Offset, chunkBytes)
 	if err != nil {
 		return nil, err
 	}
 	return &peerpb.SnapshotChunk{Index: id.Index, Term: id.Term, Total: chunk.Total, Offset: chunk.Offset, Data: chunk.Data}, nil
 }
 
-// install replaces the state by a fetched snapshot. A failed fetch, or one that
-// finds no room, is begun again when the leader next asks for it; a failed disk
-// stops the replica.
+// install replaces the state by a fetched snapshot. After a failed fetch, or without
+// free space for the snapshot, the leader requests it again later; a failed disk stops
+// the replica.
 func (c *core) install(s *snapshot.Snapshot, err error) {
 	c.fetching = false
 	if failure.Is(err, failure.DiskFailed) {
@@ -207,9 +208,9 @@
 	if err != nil || s.Meta.Index <= max(c.state.Index(), c.node.Status().Commit) {
 		return
 	}
-	if c.held != nil {
-		// The append that waits for room is older than the snapshot: written behind
-		// its mark, it would leave a gap in the log.
+	if c.deferred != nil {
+		// The deferred append is older than the snapshot: written after the snapshot's
+		// mark, it would leave a gap in the log.
 		return
 	}
 	state, err := decodeState(s.Data)
@@ -228,19 +229,19 @@
 	c.node.Installed(s.Meta)
 	c.state = state
 	c.saving.index, c.saving.bytes = s.Meta.Index, 0
-	c.forget(s.Meta.Index)
-	snapshotsGot.Add(1)
+	c.failCoveredProposals(s.Meta.Index)
+	snapshotsInstalled.Add(1)
 	c.replica.feed.Installed(state)
 	c.replica.published.Publish(state)
 }
 
-// forget ends the proposals that a snapshot covers: whether they are in it
-// cannot be told.
-func (c *core) forget(upTo uint64) {
+// failCoveredProposals fails the proposals up to an index that a snapshot covers: it is
+// unknown whether the snapshot includes them.
+func (c *core) failCoveredProposals(upTo uint64) {
 	for index, p := range c.pending {
 		if index <= upTo {
 			delete(c.pending, index)
-			p.finish(nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "entry %d came by a snapshot", index))
+			p.finish(nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "entry %d is covered by an installed snapshot", index))
 		}
 	}
 }
--- a/internal/coordination/replica/stop.go
+++ b/internal/coordination/replica/stop.go
@@ -7,40 +7,41 @@
 )
 
 const (
-	// lingerTicks is how long messages may take to leave after a hand-over.
-	lingerTicks = 2
-	// handOverTimeouts bounds, in election timeouts, how long a stop waits for
-	// another leader.
-	handOverTimeouts = 2
+	// flushTicks is the time for messages to be sent after a leadership transfer.
+	flushTicks = 2
+	// transferTimeouts limits, in election timeouts, how long a stop waits for another
+	// leader.
+	transferTimeouts = 2
 )
 
-// stopping is a graceful end: a leader hands over first, and its last messages,
-// its vote for the next leader among them, get time to leave.
-type stopping struct {
-	asked   <-chan struct{}
-	ended   <-chan time.Time
-	handing bool
+// gracefulStop is the state of a stop: a leader transfers leadership first, and its last
+// messages, including its vote for the next leader, get time to be sent.
+type gracefulStop struct {
+	requested    <-chan struct{}
+	deadline     <-chan time.Time
+	transferring bool
 }
 
-func (s *stopping) begin(c *core) {
-	s.asked = nil
-	s.handing = c.handOver()
-	if s.handing {
-		s.ended = time.After(handOverTimeouts * c.replica.config.ElectionTimeout)
+func (s *gracefulStop) begin(c *core) {
+	s.requested = nil
+	s.transferring = c.transferLeadership()
+	if s.transferring {
+		s.deadline = time.After(transferTimeouts * c.replica.config.ElectionTimeout)
 		return
 	}
-	s.ended = time.After(0)
+	s.deadline = time.After(0)
 }
 
-func (s *stopping) check(c *core) {
-	if s.handing && c.node.Status().Role != consensus.Leader {
-		s.handing = false
-		s.ended = time.After(lingerTicks * c.tick)
+func (s *gracefulStop) check(c *core) {
+	if s.transferring && c.node.Status().Role != consensus.Leader {
+		s.transferring = false
+		s.deadline = time.After(flushTicks * c.tick)
 	}
 }
 
-// handOver asks the voter with most of the log to lead; false where there is none.
-func (c *core) handOver() bool {
+// transferLeadership asks the live voter with the longest replicated log to take over;
+// it returns false if there is none.
+func (c *core) transferLeadership() bool {
 	status := c.node.Status()
 	best := ""
 	var match uint64
--- a/internal/coordination/replica/storage.go
+++ b/internal/coordination/replica/storage.go
@@ -20,8 +20,8 @@
 const (
 	logFolder      = "log"
 	snapshotFolder = "snapshots"
-	// firstFile holds the configuration that the cluster was founded with.
-	firstFile = "first"
+	// initialFile contains the initial configuration of the cluster.
+	initialFile = "first"
 )
 
 // storage is a replica's data folder.
@@ -32,11 +32,12 @@
 	identity  string
 	log       *wal.Log
 	snapshots *snapshot.Folder
-	// first is the founding configuration; nil where this replica did not found.
-	first *consensuspb.Configuration
+	// initial is the initial configuration; nil if this replica did not take part in the
+	// bootstrap.
+	initial *consensuspb.Configuration
 }
 
-// recovery is what the disk gave back.
+// recovery is what was recovered from disk.
 type recovery struct {
 	consensus consensus.Recovered
 	state     *store.State
@@ -75,20 +76,20 @@
 	if s.snapshots, err = snapshot.Open(s.files, s.path(snapshotFolder)); err != nil {
 		return nil, err
 	}
-	if err := s.readFirst(); err != nil {
+	if err := s.readInitial(); err != nil {
 		return nil, err
 	}
-	if s.first != nil && s.snapshots.Empty() {
-		// The process died in the middle of founding.
-		if err := s.found(s.first); err != nil {
+	if s.initial != nil && s.snapshots.Empty() {
+		// The process crashed during the bootstrap.
+		if err := s.bootstrap(s.initial); err != nil {
 			return nil, err
 		}
 	}
 	return s.recover(contents)
 }
 
-// used tells whether the folder ever held a log: one whose identity is missing
-// then is damaged and not new.
+// used reports whether the folder ever contained a log: if so and its identity is
+// missing, it is damaged rather than new.
 func (s *storage) used() (bool, error) {
 	for _, folder := range []string{logFolder, snapshotFolder} {
 		if err := s.files.MakeFolder(s.path(folder)); err != nil {
@@ -117,7 +118,7 @@
 		return r, nil
 	}
 	if newest.Meta.Index > contents.Snapshot.GetIndex() {
-		// The process died between making the snapshot durable and marking it.
+		// The process crashed between making the snapshot durable and marking it.
 		if err := s.log.Mark(newest.Meta); err != nil {
 			return nil, err
 		}
@@ -136,42 +137,42 @@
 	return r, nil
 }
 
-// found makes the first state of a cluster durable: the same bytes on every
-// founder. The configuration comes first, so that a crash in between is seen at
+// bootstrap makes the initial state of a cluster durable, with the same bytes on every
+// voter. The configuration is written first, so that a crash in between is detected at
 // the next start.
-func (s *storage) found(first *consensuspb.Configuration) error {
-	encoded, err := encoding.Marshal(first)
+func (s *storage) bootstrap(initial *consensuspb.Configuration) error {
+	encoded, err := encoding.Marshal(initial)
 	if err != nil {
-		return failure.Wrap(failure.Internal, err, "encode the first configuration")
+		return failure.Wrap(failure.Internal, err, "encode the initial configuration")
 	}
-	if err := disk.Replace(s.files, s.path(firstFile), encoded); err != nil {
+	if err := disk.Replace(s.files, s.path(initialFile), encoded); err != nil {
 		return err
 	}
-	s.first = first
-	founded := consensus.Bootstrap(first.Members)
-	data, err := encodeState(store.Restore(&controlpb.Snapshot{Index: founded.Snapshot.Index}))
+	s.initial = initial
+	bootstrapped := consensus.Bootstrap(initial.Members)
+	data, err := encodeState(store.Restore(&controlpb.Snapshot{Index: bootstrapped.Snapshot.Index}))
 	if err != nil {
 		return err
 	}
-	if err := s.snapshots.Save(&snapshot.Snapshot{Meta: founded.Snapshot, Data: data}); err != nil {
+	if err := s.snapshots.Save(&snapshot.Snapshot{Meta: bootstrapped.Snapshot, Data: data}); err != nil {
 		return err
 	}
-	return s.log.Mark(founded.Snapshot)
+	return s.log.Mark(bootstrapped.Snapshot)
 }
 
-func (s *storage) readFirst() error {
-	content, found, err := disk.ReadFile(s.files, s.path(firstFile))
+func (s *storage) readInitial() error {
+	content, found, err := disk.ReadFile(s.files, s.path(initialFile))
 	if err != nil || !found {
 		return err
 	}
-	s.first = &consensuspb.Configuration{}
-	if err := proto.Unmarshal(content, s.first); err != nil {
-		return failure.Wrap(failure.Corrupt, err, "%s", s.path(firstFile))
+	s.initial = &consensuspb.Configuration{}
+	if err := proto.Unmarshal(content, s.initial); err != nil {
+		return failure.Wrap(failure.Corrupt, err, "%s", s.path(initialFile))
 	}
 	return nil
 }
 
-// newestSnapshot is the index of the newest durable snapshot; 0 where there is none.
+// newestSnapshot returns the index of the newest durable snapshot; 0 if there is none.
 func (s *storage) newestSnapshot() uint64 {
 	newest, _ := s.snapshots.Newest()
 	return newest.Index
@@ -201,7 +202,7 @@
 func decodeState(data []byte) (*store.State, error) {
 	decoded := &controlpb.Snapshot{}
 	if err := proto.Unmarshal(data, decoded); err != nil {
-		return nil, failure.Wrap(failure.Corrupt, err, "snapshot does not decode")
+		return nil, failure.Wrap(failure.Corrupt, err, "decode snapshot")
 	}
 	return store.Restore(decoded), nil
 }
--- a/internal/coordination/replica/view.go
+++ b/internal/coordination/replica/view.go
@@ -5,24 +5,24 @@
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
 
-// view is what readers may know of the owner's state.
+// view is the part of the log's state that is published to readers.
 type view struct {
 	status consensus.Status
-	// leading tells that this replica leads and has applied its own term's
-	// first entry, hence everything that earlier leaders committed.
+	// leading is true if this replica leads and has applied the first entry of its own
+	// term, hence everything that earlier leaders committed.
 	leading bool
 	leader  string
 	member  bool
 }
 
-// leaderTerm is from which applied index on this replica may decide as the
-// leader of a term.
+// leaderTerm is the applied index from which this replica may decide as the leader of a
+// term.
 type leaderTerm struct {
-	term  uint64
-	ready uint64
+	term       uint64
+	readyIndex uint64
 }
 
-// publishView shows readers what has changed.
+// publishView publishes the changed view to readers.
 func (c *core) publishView() {
 	status := c.node.Status()
 	v := &view{status: status, leader: c.instanceOf(status.Leader)}
@@ -39,19 +39,19 @@
 	}
 	currentTerm.Set(int64(status.Term))
 	currentIndex.Set(int64(c.state.Index()))
-	c.report(earlier, v)
+	c.logChange(earlier, v)
 }
 
-// leads tells whether this replica leads and has applied everything that
-// earlier leaders committed.
+// leads reports whether this replica leads and has applied everything that earlier
+// leaders committed.
 func (c *core) leads(status consensus.Status) bool {
 	if status.Role != consensus.Leader || !status.CommittedInTerm {
 		return false
 	}
-	if c.leaderOf.term != status.Term {
-		c.leaderOf = leaderTerm{term: status.Term, ready: status.Commit}
+	if c.leadership.term != status.Term {
+		c.leadership = leaderTerm{term: status.Term, readyIndex: status.Commit}
 	}
-	return c.state.Index() >= c.leaderOf.ready
+	return c.state.Index() >= c.leadership.readyIndex
 }
 
 func (c *core) instanceOf(identity string) string {
@@ -61,11 +61,11 @@
 	return disk.Instance(identity)
 }
 
-func (c *core) report(earlier, now *view) {
+func (c *core) logChange(earlier, now *view) {
 	if earlier.leader == now.leader && earlier.status.Term == now.status.Term && earlier.member == now.member {
 		return
 	}
 	elections.Add(1)
-	c.replica.config.Logger.WithFields(c.strain.fields(earlier.status, c.tick)).WithField("leader", now.leader).WithField("term", now.status.Term).
+	c.replica.config.Logger.WithFields(c.delayTracker.fields(earlier.status, c.tick)).WithField("leader", now.leader).WithField("term", now.status.Term).
 		WithField("role", now.status.Role.String()).WithField("member", now.member).Info("control log")
 }
