--- a/internal/coordination/repair/repair.go
+++ b/internal/coordination/repair/repair.go
@@ -1,7 +1,7 @@
-// Package repair decides when a lost voter of the control log is replaced, and
-// by whom. It is pure: what is known comes in, at most one change of members
-// goes out. The change itself (learner, catching up, voter, and only then the
-// removal) is package replica's.
+// Package repair decides when a lost voter of the control log is replaced, and by which
+// instance. It is a pure function from the observed state to at most one change of
+// members. The change itself (add a learner, let it catch up, make it a voter, and only
+// then remove the lost one) is executed by package replica.
 package repair
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Config bounds the decision.
+// Config holds the parameters of the decision.
 type Config struct {
-	// Voters is how many voters there shall be.
+	// Voters is the desired number of voters.
 	Voters int
-	// CutDelay is the least silence after which a voter counts as lost whose
-	// whole data centre is silent: most such silences are cuts of a link, and
-	// the voters behind it come back together.
+	// CutDelay is the minimum time after which an unresponsive voter counts as lost if
+	// its whole data centre is unreachable: most such outages are network partitions,
+	// and the voters behind them return together.
 	CutDelay time.Duration
 }
 
@@ -26,75 +26,76 @@
 	Instance   string
 	DataCentre string
 	Voter      bool
-	// Silence is how long the member has not been heard; 0 for a live one.
-	Silence time.Duration
-	// Delay is how long it may be silent, as package detector learned.
+	// UnresponsiveFor is the time since the member stopped responding; 0 for a live one.
+	UnresponsiveFor time.Duration
+	// Delay is the time after which the unresponsive member counts as lost, as estimated
+	// by package detector.
 	Delay time.Duration
-	// Replaced tells that its instance runs with another identity: its disk is
-	// gone, and this member with it.
+	// Replaced is true if the member's instance runs with another identity: its disk has
+	// been replaced, and this member is lost.
 	Replaced bool
 }
 
-// Spare is a live instance with a disk that is no member.
+// Spare is a live instance with a disk whose replica can become a voter.
 type Spare struct {
 	Instance   string
 	DataCentre string
 }
 
-// Snapshot is what is known at one moment.
+// Snapshot is the observed state at one time.
 type Snapshot struct {
 	Members []Member
 	Spares  []Spare
-	// Reachable names the data centres of which any instance is heard.
+	// Reachable holds the data centres with at least one reachable instance.
 	Reachable map[string]bool
-	// Changing tells that a change of members is under way.
-	Changing bool
+	// ChangeInProgress is true while a change of members is in progress.
+	ChangeInProgress bool
 }
 
-// Change is one change of members: add an instance's replica, then remove an
+// Change is one change of members: add the replica of an instance, then remove an
 // identity. Either may be empty.
 type Change struct {
 	Add    string
 	Remove string
 }
 
-// Reason says why nothing is changed now.
+// Reason is the reason why nothing is changed now.
 type Reason string
 
 // The reasons.
 const (
 	NothingLost Reason = "nothing_lost"
-	// UnderWay: two changes at once could leave two majorities.
-	UnderWay Reason = "change_under_way"
-	// NoQuorum: what is left cannot commit a change; more members must return.
+	// ChangeInProgress: two changes at once could result in two disjoint majorities.
+	ChangeInProgress Reason = "change_under_way"
+	// NoQuorum: the live voters cannot commit a change; more members must return.
 	NoQuorum Reason = "no_quorum"
-	// Waiting: a member is silent, but not for long enough.
+	// Waiting: a member is unresponsive, but not for long enough.
 	Waiting Reason = "waiting"
 	NoSpare Reason = "no_spare"
 )
 
-// Decide gives the next change, or the reason for none. Where a quorum lives,
-// it still does with one live voter more and then with one lost voter less, so
-// no step of a change that is given loses it.
+// Decide returns the next change, or the reason for none. If a quorum is live, it is
+// still live with one more live voter, and then with one lost voter less, so no step of
+// a returned change loses the quorum.
 func Decide(config Config, s Snapshot) (Change, Reason) {
 	voters := votersOf(s.Members)
 	live := liveOf(voters)
 	switch {
-	case s.Changing:
-		return Change{}, UnderWay
+	case s.ChangeInProgress:
+		return Change{}, ChangeInProgress
 	case len(live) < quorum(len(voters)):
 		return Change{}, NoQuorum
 	}
-	lost, silent := longestLost(config, s, voters)
+	lost, unresponsive := longestLost(config, s, voters)
 	switch {
 	case lost != nil && len(voters) > config.Voters:
 		return Change{Remove: lost.Identity}, ""
-	case lost == nil && len(voters) >= config.Voters && silent:
+	case lost == nil && len(voters) >= config.Voters && unresponsive:
 		return Change{}, Waiting
 	case lost == nil && len(voters) >= config.Voters:
 		return Change{}, NothingLost
 	}
-	add := choose(s, live, lost)
+	add := chooseSpare(s, live, lost)
 	if add == "" {
 		return Change{}, NoSpare
 	}
@@ -118,7 +119,7 @@
 func liveOf(voters []Member) []Member {
 	var live []Member
 	for _, voter := range voters {
-		if voter.Silence == 0 && !voter.Replaced {
+		if voter.UnresponsiveFor == 0 && !voter.Replaced {
 			live = append(live, voter)
 		}
 	}
@@ -127,12 +128,12 @@
 
 func quorum(voters int) int { return voters/2 + 1 }
 
-// longestLost is the voter that has been lost for longest, one whose disk is
-// gone before all; silent tells whether any voter is silent.
-func longestLost(config Config, s Snapshot, voters []Member) (lost *Member, silent bool) {
+// longestLost returns the voter that has been lost for the longest time, preferring one
+// whose disk was replaced. unresponsive reports whether any voter is unresponsive.
+func longestLost(config Config, s Snapshot, voters []Member) (lost *Member, unresponsive bool) {
 	for i := range voters {
 		voter := &voters[i]
-		silent = silent || voter.Silence > 0
+		unresponsive = unresponsive || voter.UnresponsiveFor > 0
 		if !isLost(config, s, voter) {
 			continue
 		}
@@ -140,7 +141,7 @@
 			lost = voter
 		}
 	}
-	return lost, silent
+	return lost, unresponsive
 }
 
 func isLost(config Config, s Snapshot, voter *Member) bool {
@@ -151,37 +152,37 @@
 	if !s.Reachable[voter.DataCentre] {
 		delay = max(delay, config.CutDelay)
 	}
-	return voter.Silence > 0 && voter.Silence >= delay
+	return voter.UnresponsiveFor > 0 && voter.UnresponsiveFor >= delay
 }
 
 func compareLost(a, b *Member) int {
 	return cmp.Or(
-		cmp.Compare(rank(a.Replaced), rank(b.Replaced)),
-		cmp.Compare(a.Silence, b.Silence),
+		cmp.Compare(boolToInt(a.Replaced), boolToInt(b.Replaced)),
+		cmp.Compare(a.UnresponsiveFor, b.UnresponsiveFor),
 		cmp.Compare(b.Identity, a.Identity),
 	)
 }
 
-func rank(yes bool) int {
-	if yes {
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// choose picks the spare in the data centre with the fewest live voters, so that
-// a lost data centre takes as few voters as can be; among those the lost one's
-// own instance or data centre, then the least name.
-func choose(s Snapshot, live []Member, lost *Member) string {
-	held := map[string]int{}
+// chooseSpare picks the spare in the data centre with the fewest live voters, so that
+// the loss of a data centre takes as few voters as possible. Ties are broken by the
+// instance, then the data centre, of the lost voter, then by the least name.
+func chooseSpare(s Snapshot, live []Member, lost *Member) string {
+	liveVoters := map[string]int{}
 	for _, voter := range live {
-		held[voter.DataCentre]++
+		liveVoters[voter.DataCentre]++
 	}
 	spares := slices.Clone(s.Spares)
 	slices.SortFunc(spares, func(a, b Spare) int {
 		return cmp.Or(
-			cmp.Compare(held[a.DataCentre], held[b.DataCentre]),
-			cmp.Compare(nearness(lost, b), nearness(lost, a)),
+			cmp.Compare(liveVoters[a.DataCentre], liveVoters[b.DataCentre]),
+			cmp.Compare(proximity(lost, b), proximity(lost, a)),
 			cmp.Compare(a.Instance, b.Instance),
 		)
 	})
@@ -191,7 +192,7 @@
 	return spares[0].Instance
 }
 
-func nearness(lost *Member, spare Spare) int {
+func proximity(lost *Member, spare Spare) int {
 	switch {
 	case lost == nil:
 		return 0
--- a/internal/coordination/repair/repair_test.go
+++ b/internal/coordination/repair/repair_test.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	delay = 10 * time.Minute
-	cut   = 2 * time.Hour
+	delay          = 10 * time.Minute
+	partitionDelay = 2 * time.Hour
 )
 
-var config = Config{Voters: 3, CutDelay: cut}
+var config = Config{Voters: 3, CutDelay: partitionDelay}
 
-func voter(instance, centre string, silence time.Duration) Member {
-	return Member{Identity: instance + ".id", Instance: instance, DataCentre: centre, Voter: true, Silence: silence, Delay: delay}
+func voter(instance, dataCentre string, unresponsiveFor time.Duration) Member {
+	return Member{Identity: instance + ".id", Instance: instance, DataCentre: dataCentre, Voter: true, UnresponsiveFor: unresponsiveFor, Delay: delay}
 }
 
 func TestDecide(t *testing.T) {
 	spare := []Spare{{"s1", "dc1"}, {"s2", "dc2"}, {"s3", "dc3"}}
 	a, b, c := voter("a", "dc1", 0), voter("b", "dc2", 0), voter("c", "dc3", 0)
-	silent := func(m Member, silence time.Duration) Member { m.Silence = silence; return m }
+	unresponsive := func(m Member, unresponsiveFor time.Duration) Member { m.UnresponsiveFor = unresponsiveFor; return m }
 	replaced := func(m Member) Member { m.Replaced = true; return m }
 	all := map[string]bool{"dc1": true, "dc2": true, "dc3": true}
 	withoutC := map[string]bool{"dc1": true, "dc2": true}
@@ -33,20 +33,20 @@
 		change   Change
 		reason   Reason
 	}{
-		"all live":                         {Snapshot{Members: []Member{a, b, c}, Spares: spare, Reachable: all}, Change{}, NothingLost},
-		"silent for a moment":              {Snapshot{Members: []Member{a, b, silent(c, delay-1)}, Spares: spare, Reachable: all}, Change{}, Waiting},
-		"lost, spread kept":                {Snapshot{Members: []Member{a, b, silent(c, delay)}, Spares: spare, Reachable: all}, Change{"s3", "c.id"}, ""},
-		"its data centre has no spare":     {Snapshot{Members: []Member{a, b, silent(c, delay)}, Spares: spare[:2], Reachable: all}, Change{"s1", "c.id"}, ""},
-		"link to its data centre cut":      {Snapshot{Members: []Member{a, b, silent(c, cut-1)}, Spares: spare[:2], Reachable: withoutC}, Change{}, Waiting},
-		"data centre lost":                 {Snapshot{Members: []Member{a, b, silent(c, cut)}, Spares: spare[:2], Reachable: withoutC}, Change{"s1", "c.id"}, ""},
-		"disk replaced":                    {Snapshot{Members: []Member{a, b, replaced(c)}, Spares: append(spare, Spare{"c", "dc3"}), Reachable: all}, Change{"c", "c.id"}, ""},
-		"two lost of three":                {Snapshot{Members: []Member{a, silent(b, delay), silent(c, delay)}, Spares: spare, Reachable: all}, Change{}, NoQuorum},
-		"one change at a time":             {Snapshot{Members: []Member{a, b, silent(c, delay)}, Spares: spare, Reachable: all, Changing: true}, Change{}, UnderWay},
-		"no spare":                         {Snapshot{Members: []Member{a, b, silent(c, delay)}, Reachable: all}, Change{}, NoSpare},
-		"broke off before the removal":     {Snapshot{Members: []Member{a, b, silent(c, delay), voter("s3", "dc3", 0)}, Spares: spare[:2], Reachable: all}, Change{Remove: "c.id"}, ""},
-		"too few voters":                   {Snapshot{Members: []Member{a, b}, Spares: spare, Reachable: all}, Change{Add: "s3"}, ""},
-		"learners do not count":            {Snapshot{Members: []Member{a, silent(b, delay), learner, silent(c, delay)}, Spares: spare, Reachable: all}, Change{}, NoQuorum},
-		"longest silent of two goes first": {Snapshot{Members: []Member{a, b, c, silent(voter("d", "dc1", 0), delay), silent(voter("e", "dc2", 0), 2*delay)}, Spares: spare, Reachable: all}, Change{Remove: "e.id"}, ""},
+		"all live":                          {Snapshot{Members: []Member{a, b, c}, Spares: spare, Reachable: all}, Change{}, NothingLost},
+		"unresponsive for a short time":     {Snapshot{Members: []Member{a, b, unresponsive(c, delay-1)}, Spares: spare, Reachable: all}, Change{}, Waiting},
+		"lost, spare in its data centre":    {Snapshot{Members: []Member{a, b, unresponsive(c, delay)}, Spares: spare, Reachable: all}, Change{"s3", "c.id"}, ""},
+		"its data centre has no spare":      {Snapshot{Members: []Member{a, b, unresponsive(c, delay)}, Spares: spare[:2], Reachable: all}, Change{"s1", "c.id"}, ""},
+		"data centre partitioned":           {Snapshot{Members: []Member{a, b, unresponsive(c, partitionDelay-1)}, Spares: spare[:2], Reachable: withoutC}, Change{}, Waiting},
+		"data centre lost":                  {Snapshot{Members: []Member{a, b, unresponsive(c, partitionDelay)}, Spares: spare[:2], Reachable: withoutC}, Change{"s1", "c.id"}, ""},
+		"disk replaced":                     {Snapshot{Members: []Member{a, b, replaced(c)}, Spares: append(spare, Spare{"c", "dc3"}), Reachable: all}, Change{"c", "c.id"}, ""},
+		"two lost of three":                 {Snapshot{Members: []Member{a, unresponsive(b, delay), unresponsive(c, delay)}, Spares: spare, Reachable: all}, Change{}, NoQuorum},
+		"one change at a time":              {Snapshot{Members: []Member{a, b, unresponsive(c, delay)}, Spares: spare, Reachable: all, ChangeInProgress: true}, Change{}, ChangeInProgress},
+		"no spare":                          {Snapshot{Members: []Member{a, b, unresponsive(c, delay)}, Reachable: all}, Change{}, NoSpare},
+		"change interrupted before removal": {Snapshot{Members: []Member{a, b, unresponsive(c, delay), voter("s3", "dc3", 0)}, Spares: spare[:2], Reachable: all}, Change{Remove: "c.id"}, ""},
+		"too few voters":                    {Snapshot{Members: []Member{a, b}, Spares: spare, Reachable: all}, Change{Add: "s3"}, ""},
+		"learners do not count":             {Snapshot{Members: []Member{a, unresponsive(b, delay), learner, unresponsive(c, delay)}, Spares: spare, Reachable: all}, Change{}, NoQuorum},
+		"longest lost is removed first":     {Snapshot{Members: []Member{a, b, c, unresponsive(voter("d", "dc1", 0), delay), unresponsive(voter("e", "dc2", 0), 2*delay)}, Spares: spare, Reachable: all}, Change{Remove: "e.id"}, ""},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -58,21 +58,21 @@
 	}
 }
 
-// Whatever is known, a change removes only a voter that is silent past its
-// delay or without its disk, adds only a spare, and leaves a live quorum at
-// each step: with the added one, and after the removal.
+// In any state, a change removes only a voter that was unresponsive for at least its
+// delay or whose disk was replaced, and leaves a live quorum at each step: with the
+// added voter, and after the removal.
 func TestModelQuorumIsKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Snapshot{Reachable: map[string]bool{"dc0": rapid.Bool().Draw(t, "dc0"), "dc1": true, "dc2": true}}
-		centre := rapid.IntRange(0, 2)
+		dataCentre := rapid.IntRange(0, 2)
 		for i := range rapid.IntRange(1, 7).Draw(t, "voters") {
-			silence := time.Duration(rapid.SampledFrom([]int{0, 0, 5, 15, 150}).Draw(t, "minutes")) * time.Minute
-			member := voter(fmt.Sprint("v", i), fmt.Sprint("dc", centre.Draw(t, "centre")), silence)
+			unresponsiveFor := time.Duration(rapid.SampledFrom([]int{0, 0, 5, 15, 150}).Draw(t, "minutes")) * time.Minute
+			member := voter(fmt.Sprint("v", i), fmt.Sprint("dc", dataCentre.Draw(t, "centre")), unresponsiveFor)
 			member.Replaced = rapid.IntRange(0, 9).Draw(t, "replaced") == 0
 			s.Members = append(s.Members, member)
 		}
 		for i := range rapid.IntRange(0, 4).Draw(t, "spares") {
-			s.Spares = append(s.Spares, Spare{fmt.Sprint("s", i), fmt.Sprint("dc", centre.Draw(t, "centre"))})
+			s.Spares = append(s.Spares, Spare{fmt.Sprint("s", i), fmt.Sprint("dc", dataCentre.Draw(t, "centre"))})
 		}
 		change, reason := Decide(config, s)
 		if (reason == "") == (change == Change{}) {
@@ -89,8 +89,8 @@
 			if member.Identity != change.Remove {
 				continue
 			}
-			if member.Silence < delay && !member.Replaced {
-				t.Fatalf("%s goes after %s", member.Identity, member.Silence)
+			if member.UnresponsiveFor < delay && !member.Replaced {
+				t.Fatalf("%s is removed after %s without a response", member.Identity, member.UnresponsiveFor)
 			}
 			if live < quorum(voters-1) {
 				t.Fatalf("removing leaves %d live of %d", live, voters-1)
--- a/internal/coordination/repairer/repairer.go
+++ b/internal/coordination/repairer/repairer.go
@@ -1,6 +1,7 @@
-// Package repairer replaces lost voters of the control log on the leader, where
-// the settings allow it. Package detector says for how long a voter may be
-// silent, package repair what to change; this one watches and carries it out.
+// Package repairer replaces lost voters of the control log. It runs on the leader, if
+// the settings enable it. Package detector estimates how long a voter may be
+// unresponsive, package repair decides what to change; this package observes the members
+// and executes the change.
 package repairer
 
 import (
@@ -21,76 +22,78 @@
 )
 
 const (
-	// lookEvery is how often the leader looks at its voters: a replica that lost
-	// its disk should vote again before the next is lost.
-	lookEvery = 250 * time.Millisecond
-	// replacedAfter is how long a voter must be silent before its instance,
-	// which runs, counts as one with a new disk: a start takes a moment too.
-	replacedAfter = 10 * time.Second
+	// checkInterval is the interval at which the leader checks its voters: a replica
+	// that lost its disk should vote again before the next disk is lost.
+	checkInterval = 250 * time.Millisecond
+	// replacedDiskDelay is how long a voter must be unresponsive before its running
+	// instance counts as one with a new disk, since a start also takes time.
+	replacedDiskDelay = 10 * time.Second
 )
 
 var (
-	repairsDone   = expvar.NewInt("repair_done")
-	repairsFailed = expvar.NewInt("repair_failed")
-	votersSilent  = expvar.NewInt("repair_voters_silent")
+	repairsDone        = expvar.NewInt("repair_done")
+	repairsFailed      = expvar.NewInt("repair_failed")
+	unresponsiveVoters = expvar.NewInt("repair_voters_silent")
 )
 
-// Log is the log's own view of its members.
+// Log is the part of the control log that the repairer uses.
 type Log interface {
 	Status() consensus.Status
 	ChangeMembers(ctx context.Context, change *peerpb.ChangeMembers) error
 }
 
-// Instances lists the instances that live.
+// Instances lists the live instances.
 type Instances interface {
 	Instances(window time.Duration) []*peerpb.InstanceState
 }
 
-// Config of a repairer.
+// Config is the configuration of a repairer.
 type Config struct {
 	Repair repair.Config
-	// Window is how long an instance counts as live after it was heard.
+	// Window is how long an instance counts as live after its last message.
 	Window time.Duration
 	Now    func() time.Time
 	Logger *logrus.Logger
 }
 
-// Repairer watches the voters. One goroutine uses it.
+// Repairer observes the voters. It is not safe for concurrent use.
 type Repairer struct {
 	config    Config
 	log       Log
 	instances Instances
 	detector  *detector.Detector
-	// silentSince holds the members that do not answer, by identity.
-	silentSince map[string]time.Time
-	// centres holds the newest known data centre of an instance.
-	centres map[string]string
-	reason  repair.Reason
+	// unresponsiveSince holds the members that do not respond, by identity.
+	unresponsiveSince map[string]time.Time
+	// dataCentres holds the last known data centre of each instance.
+	dataCentres map[string]string
+	reason      repair.Reason
 }
 
-// New makes a repairer.
+// New returns a repairer.
 func New(config Config, log Log, instances Instances, detector *detector.Detector) *Repairer {
 	return &Repairer{
 		config: config, log: log, instances: instances, detector: detector,
-		silentSince: map[string]time.Time{}, centres: map[string]string{},
+		unresponsiveSince: map[string]time.Time{}, dataCentres: map[string]string{},
 	}
 }
 
-// Run repairs until ctx ends.
+// Run checks and repairs periodically until ctx ends.
 func (r *Repairer) Run(ctx context.Context) {
-	control.Every(ctx, lookEvery, func() { r.Step(ctx) })
+	control.Every(ctx, checkInterval, func() { r.Step(ctx) })
 }
 
-// Step looks once and carries out at most one change; it returns when that has
-// ended, so that no two run at once here. The log refuses a second from elsewhere.
+// Step checks the voters once and executes at most one change. It returns when the
+// change has ended, so that no two changes run concurrently here. The log refuses a
+// second one from another instance.
 func (r *Repairer) Step(ctx context.Context) {
 	status := r.log.Status()
 	if status.Role != consensus.Leader {
-		// Another leader hears the voters now; what this one missed is not known.
-		clear(r.silentSince)
+		// Another leader observes the voters now; what happens meanwhile is not known
+		// here.
+		clear(r.unresponsiveSince)
 		return
 	}
-	snapshot := r.look(status)
+	snapshot := r.collectSnapshot(status)
 	change, reason := repair.Decide(r.config.Repair, snapshot)
 	if reason != r.reason {
 		r.reason = reason
@@ -99,10 +102,10 @@
 	if reason != "" {
 		return
 	}
-	r.carryOut(ctx, change, status.Configuration)
+	r.applyChange(ctx, change, status.Configuration)
 }
 
-func (r *Repairer) carryOut(ctx context.Context, change repair.Change, configuration *consensuspb.Configuration) {
+func (r *Repairer) applyChange(ctx context.Context, change repair.Change, configuration *consensuspb.Configuration) {
 	entry := r.config.Logger.WithField("add", change.Add).WithField("remove", change.Remove)
 	if err := r.log.ChangeMembers(ctx, &peerpb.ChangeMembers{Add: change.Add, Remove: change.Remove}); err != nil {
 		repairsFailed.Add(1)
@@ -114,92 +117,96 @@
 	for _, member := range configuration.GetMembers() {
 		if member.Identity == change.Remove {
 			r.detector.Lost(member.Instance)
-			delete(r.silentSince, member.Identity)
+			delete(r.unresponsiveSince, member.Identity)
 		}
 	}
 }
 
-// look gathers what is known now.
-func (r *Repairer) look(status consensus.Status) repair.Snapshot {
+// collectSnapshot returns the current state of members, spares and data centres.
+func (r *Repairer) collectSnapshot(status consensus.Status) repair.Snapshot {
 	now := r.config.Now()
 	live := map[string]*peerpb.InstanceState{}
-	s := repair.Snapshot{Changing: status.ConfigurationPending, Reachable: map[string]bool{}}
+	s := repair.Snapshot{ChangeInProgress: status.ConfigurationPending, Reachable: map[string]bool{}}
 	for _, instance := range r.instances.Instances(r.config.Window) {
 		live[instance.Name] = instance
-		r.centres[instance.Name] = instance.DataCentre
+		r.dataCentres[instance.Name] = instance.DataCentre
 		s.Reachable[instance.DataCentre] = true
 	}
-	r.hear(status, now)
-	missing := len(r.silentSince)
+	r.observeMembers(status, now)
+	unresponsiveCount := len(r.unresponsiveSince)
 	members := status.Configuration.GetMembers()
 	isMember := map[string]bool{}
 	for _, member := range members {
 		isMember[member.Instance] = true
-		s.Members = append(s.Members, r.describe(member, live[member.Instance], now, missing, len(members)))
+		s.Members = append(s.Members, r.describe(member, live[member.Instance], now, unresponsiveCount, len(members)))
 	}
 	for name, instance := range live {
 		if !instance.Replica || instance.Leaving || !instance.Ready {
 			continue
 		}
-		outside := !instance.Voter && (!isMember[name] || r.replaced(s.Members, name))
-		if outside || isLearner(s.Members, instance) {
+		replaceable := !instance.Voter && (!isMember[name] || r.replaced(s.Members, name))
+		if replaceable || isLearner(s.Members, instance) {
 			s.Spares = append(s.Spares, repair.Spare{Instance: name, DataCentre: instance.DataCentre})
 		}
 	}
 	return s
 }
 
-// hear keeps since when each member is silent, and teaches the detector.
-func (r *Repairer) hear(status consensus.Status, now time.Time) {
-	answers := map[string]bool{status.Identity: true}
+// observeMembers updates since when each member is unresponsive and passes ended outages
+// to the detector.
+func (r *Repairer) observeMembers(status consensus.Status, now time.Time) {
+	live := map[string]bool{status.Identity: true}
 	for _, member := range status.Members {
-		answers[member.Identity] = member.Live
+		live[member.Identity] = member.Live
 	}
-	present := map[string]bool{}
+	isMember := map[string]bool{}
 	for _, member := range status.Configuration.GetMembers() {
-		present[member.Identity] = true
-		since, silent := r.silentSince[member.Identity]
+		isMember[member.Identity] = true
+		since, unresponsive := r.unresponsiveSince[member.Identity]
 		switch {
-		case answers[member.Identity] && silent:
+		case live[member.Identity] && unresponsive:
 			r.detector.Returned(member.Instance, now.Sub(since))
-			delete(r.silentSince, member.Identity)
-		case !answers[member.Identity] && !silent:
-			r.silentSince[member.Identity] = now
+			delete(r.unresponsiveSince, member.Identity)
+		case !live[member.Identity] && !unresponsive:
+			r.unresponsiveSince[member.Identity] = now
 		}
 	}
-	for identity := range r.silentSince {
-		if !present[identity] {
-			delete(r.silentSince, identity)
+	for identity := range r.unresponsiveSince {
+		if !isMember[identity] {
+			delete(r.unresponsiveSince, identity)
 		}
 	}
-	votersSilent.Set(int64(len(r.silentSince)))
+	unresponsiveVoters.Set(int64(len(r.unresponsiveSince)))
 }
 
-func (r *Repairer) describe(member *consensuspb.Member, instance *peerpb.InstanceState, now time.Time, missing, wanted int) repair.Member {
+func (r *Repairer) describe(member *consensuspb.Member, instance *peerpb.InstanceState, now time.Time, unresponsiveCount, total int) repair.Member {
 	described := repair.Member{
 		Identity:   member.Identity,
 		Instance:   member.Instance,
-		DataCentre: r.centres[member.Instance],
+		DataCentre: r.dataCentres[member.Instance],
 		Voter:      member.Voter,
 	}
 	if instance != nil && instance.Identity != "" && instance.Identity != member.Identity {
-		// The instance says so itself: its disk is new, and the member is gone.
+		// The instance reports another identity: its disk is new, and the member is
+		// lost.
 		described.Replaced = true
 	}
-	since, silent := r.silentSince[member.Identity]
-	if !silent {
+	since, unresponsive := r.unresponsiveSince[member.Identity]
+	if !unresponsive {
 		return described
 	}
-	// A member that has just been missed counts as silent for a moment at least.
-	described.Silence = max(now.Sub(since), time.Nanosecond)
-	described.Delay = r.detector.Delay(member.Instance, missing-1, wanted)
-	described.Replaced = described.Replaced || instance != nil && instance.Ready && instance.Replica && !instance.Voter && described.Silence >= replacedAfter
+	// A member that just became unresponsive must have a duration above 0, which stands
+	// for a live one.
+	described.UnresponsiveFor = max(now.Sub(since), time.Nanosecond)
+	described.Delay = r.detector.Delay(member.Instance, unresponsiveCount-1, total)
+	described.Replaced = described.Replaced || instance != nil && instance.Ready && instance.Replica && !instance.Voter && described.UnresponsiveFor >= replacedDiskDelay
 	return described
 }
 
-// isLearner tells whether an instance's replica is a member without a vote. A leader
-// that was lost may have left it so, and since every member calls itself a voter it
-// would find no place in any vote: the next disk lost would be one too many.
+// isLearner reports whether an instance's replica is a member without a vote. A lost
+// leader may have left it in this state. Since every member reports itself as a voter,
+// it would otherwise never be promoted, and the loss of one more disk could cost the
+// quorum.
 func isLearner(members []repair.Member, instance *peerpb.InstanceState) bool {
 	return slices.ContainsFunc(members, func(m repair.Member) bool {
 		return !m.Voter && m.Identity == instance.Identity
--- a/internal/coordination/repairer/repairer_test.go
+++ b/internal/coordination/repairer/repairer_test.go
@@ -18,147 +18,147 @@
 
 const delay = time.Minute
 
-// world is a log of three voters a, b, c, led by a, and instances with disks.
-type world struct {
-	now    time.Time
-	role   consensus.Role
-	silent map[string]bool
+// fakeCluster is a log with the voters a, b and c, led by a, and instances with disks.
+type fakeCluster struct {
+	now          time.Time
+	role         consensus.Role
+	unresponsive map[string]bool
 	// learner is a member without a vote; nil for none.
 	learner *consensuspb.Member
 	live    []*peerpb.InstanceState
 	changes []*peerpb.ChangeMembers
 }
 
-func newWorld() *world {
-	w := &world{now: time.Unix(1_000_000, 0), role: consensus.Leader, silent: map[string]bool{}}
+func newFakeCluster() *fakeCluster {
+	c := &fakeCluster{now: time.Unix(1_000_000, 0), role: consensus.Leader, unresponsive: map[string]bool{}}
 	for _, name := range []string{"a", "b", "c"} {
-		w.live = append(w.live, instance(name, true))
+		c.live = append(c.live, instance(name, true))
 	}
-	w.live = append(w.live, instance("spare", false))
-	return w
+	c.live = append(c.live, instance("spare", false))
+	return c
 }
 
 func instance(name string, voter bool) *peerpb.InstanceState {
 	return &peerpb.InstanceState{Name: name, DataCentre: "dc1", Ready: true, Replica: true, Voter: voter}
 }
 
-func (w *world) Status() consensus.Status {
-	s := consensus.Status{Identity: "a.1", Role: w.role, Configuration: &consensuspb.Configuration{}}
+func (c *fakeCluster) Status() consensus.Status {
+	s := consensus.Status{Identity: "a.1", Role: c.role, Configuration: &consensuspb.Configuration{}}
 	for _, name := range []string{"a", "b", "c"} {
 		s.Configuration.Members = append(s.Configuration.Members, &consensuspb.Member{Identity: name + ".1", Instance: name, Voter: true})
 		if name != "a" {
-			s.Members = append(s.Members, consensus.MemberStatus{Identity: name + ".1", Voter: true, Live: !w.silent[name]})
+			s.Members = append(s.Members, consensus.MemberStatus{Identity: name + ".1", Voter: true, Live: !c.unresponsive[name]})
 		}
 	}
-	if w.learner != nil {
-		s.Configuration.Members = append(s.Configuration.Members, w.learner)
-		s.Members = append(s.Members, consensus.MemberStatus{Identity: w.learner.Identity, Live: true})
+	if c.learner != nil {
+		s.Configuration.Members = append(s.Configuration.Members, c.learner)
+		s.Members = append(s.Members, consensus.MemberStatus{Identity: c.learner.Identity, Live: true})
 	}
 	return s
 }
 
-func (w *world) ChangeMembers(_ context.Context, change *peerpb.ChangeMembers) error {
-	w.changes = append(w.changes, change)
+func (c *fakeCluster) ChangeMembers(_ context.Context, change *peerpb.ChangeMembers) error {
+	c.changes = append(c.changes, change)
 	return nil
 }
 
-func (w *world) Instances(time.Duration) []*peerpb.InstanceState { return w.live }
+func (c *fakeCluster) Instances(time.Duration) []*peerpb.InstanceState { return c.live }
 
-func (w *world) repairer() *Repairer {
+func (c *fakeCluster) repairer() *Repairer {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	config := Config{Repair: repair.Config{Voters: 3, CutDelay: time.Hour}, Now: func() time.Time { return w.now }, Logger: logger}
-	return New(config, w, w, detector.New(detector.Config{First: delay, Least: time.Second, Most: time.Hour, RepairCost: time.Hour}))
+	config := Config{Repair: repair.Config{Voters: 3, CutDelay: time.Hour}, Now: func() time.Time { return c.now }, Logger: logger}
+	return New(config, c, c, detector.New(detector.Config{First: delay, Least: time.Second, Most: time.Hour, RepairCost: time.Hour}))
 }
 
-// pass lets time go by with a look each second.
-func (w *world) pass(r *Repairer, d time.Duration) {
-	for range d / lookEvery {
+// advance advances the time by d with one step per checkInterval.
+func (c *fakeCluster) advance(r *Repairer, d time.Duration) {
+	for range d / checkInterval {
 		r.Step(context.Background())
-		w.now = w.now.Add(lookEvery)
+		c.now = c.now.Add(checkInterval)
 	}
 }
 
-// A voter falls silent. While it may come back nothing is done; past the delay
-// the spare takes its place. A leader that lost its place does nothing, and one
-// that gains it waits the whole delay again.
+// A voter stops responding. Before its delay has passed, nothing is done; afterwards the
+// spare replaces it. An instance that lost leadership does nothing, and one that gains
+// it waits for the whole delay again.
 func TestLostVoterIsReplacedAfterItsDelay(t *testing.T) {
-	is, w := is.New(t), newWorld()
-	r := w.repairer()
-	w.pass(r, time.Minute)
-	w.silent["c"] = true
-	w.pass(r, delay-time.Second)
-	is.Equal(len(w.changes), 0)
-	w.role = consensus.Follower
-	w.pass(r, delay)
-	w.role = consensus.Leader
-	w.pass(r, delay)
-	is.Equal(len(w.changes), 0)
-	w.pass(r, lookEvery)
-	is.Equal(len(w.changes), 1)
-	is.Equal([]string{w.changes[0].Add, w.changes[0].Remove}, []string{"spare", "c.1"})
+	is, c := is.New(t), newFakeCluster()
+	r := c.repairer()
+	c.advance(r, time.Minute)
+	c.unresponsive["c"] = true
+	c.advance(r, delay-time.Second)
+	is.Equal(len(c.changes), 0)
+	c.role = consensus.Follower
+	c.advance(r, delay)
+	c.role = consensus.Leader
+	c.advance(r, delay)
+	is.Equal(len(c.changes), 0)
+	c.advance(r, checkInterval)
+	is.Equal(len(c.changes), 1)
+	is.Equal([]string{c.changes[0].Add, c.changes[0].Remove}, []string{"spare", "c.1"})
 }
 
-// A voter restarts slowly again and again. Its delay must come to cover that.
-func TestSlowRestartsAreLearned(t *testing.T) {
-	is, w := is.New(t), newWorld()
-	r := w.repairer()
+// A voter restarts slowly several times. Its delay must grow to cover that.
+func TestDelayAdaptsToSlowRestarts(t *testing.T) {
+	is, c := is.New(t), newFakeCluster()
+	r := c.repairer()
 	for range 10 {
-		w.silent["c"] = true
-		w.pass(r, delay-2*time.Second)
-		w.silent["c"] = false
-		w.pass(r, time.Minute)
+		c.unresponsive["c"] = true
+		c.advance(r, delay-2*time.Second)
+		c.unresponsive["c"] = false
+		c.advance(r, time.Minute)
 	}
-	w.silent["c"] = true
-	w.pass(r, delay+5*time.Second)
-	is.Equal(len(w.changes), 0)
-	w.pass(r, delay)
-	is.True(len(w.changes) > 0)
+	c.unresponsive["c"] = true
+	c.advance(r, delay+5*time.Second)
+	is.Equal(len(c.changes), 0)
+	c.advance(r, delay)
+	is.True(len(c.changes) > 0)
 }
 
-// A voter's disk was replaced: its instance runs, as no member. The new replica
-// there takes the place without the long wait.
-func TestReplacedDiskIsTakenBackSoon(t *testing.T) {
-	is, w := is.New(t), newWorld()
-	r := w.repairer()
-	w.silent["c"] = true
-	w.live[2] = instance("c", false)
-	w.pass(r, replacedAfter)
-	is.Equal(len(w.changes), 0)
-	w.pass(r, 2*lookEvery)
-	is.True(len(w.changes) > 0)
-	is.Equal([]string{w.changes[0].Add, w.changes[0].Remove}, []string{"c", "c.1"})
+// The disk of a voter was replaced: its instance runs, but is not a member. Its new
+// replica must become a voter again without the full delay.
+func TestReplacedDiskRejoinsSoon(t *testing.T) {
+	is, c := is.New(t), newFakeCluster()
+	r := c.repairer()
+	c.unresponsive["c"] = true
+	c.live[2] = instance("c", false)
+	c.advance(r, replacedDiskDelay)
+	is.Equal(len(c.changes), 0)
+	c.advance(r, 2*checkInterval)
+	is.True(len(c.changes) > 0)
+	is.Equal([]string{c.changes[0].Add, c.changes[0].Remove}, []string{"c", "c.1"})
 }
 
-// A voter comes back with an empty disk under its old address, and two more disks
-// are lost a few seconds later. Unless the new replica votes by then, three of
-// five voters have lost the log and everything accepted is gone. The instance
-// names its new identity, so there is nothing to wait for.
+// A voter returns with an empty disk at its old address, and two more disks are lost a
+// few seconds later. Unless the new replica votes by then, three of five voters have
+// lost the log and everything accepted is lost. The instance reports its new identity,
+// so no delay is needed.
 func TestNewIdentityAtAVotersAddressIsTakenInAtOnce(t *testing.T) {
-	is, w := is.New(t), newWorld()
-	r := w.repairer()
-	w.silent["c"] = true
-	w.pass(r, lookEvery)
-	w.live[2] = instance("c", false)
-	w.live[2].Identity = "c.2"
-	w.pass(r, lookEvery)
-	is.Equal(len(w.changes), 1)
-	is.Equal([]string{w.changes[0].Add, w.changes[0].Remove}, []string{"c", "c.1"})
+	is, c := is.New(t), newFakeCluster()
+	r := c.repairer()
+	c.unresponsive["c"] = true
+	c.advance(r, checkInterval)
+	c.live[2] = instance("c", false)
+	c.live[2].Identity = "c.2"
+	c.advance(r, checkInterval)
+	is.Equal(len(c.changes), 1)
+	is.Equal([]string{c.changes[0].Add, c.changes[0].Remove}, []string{"c", "c.1"})
 }
 
-// A leader adds the new replica of a wiped instance as a learner and is lost before
-// that has caught up. The learner tells of itself that it belongs to the log. If the
-// next leader took it for a voter, it would find nobody for the lost one's place, the
-// new replica would never vote, and two more disks that are lost would take the log.
+// A leader adds the new replica of a wiped instance as a learner and is lost before the
+// learner has caught up. The learner reports itself as a member of the log. If the next
+// leader took it for a voter, it would find no spare for the lost voter, the new replica
+// would never vote, and the loss of two more disks would lose the log.
 func TestLearnerThatAnEarlierLeaderLeftIsTakenOn(t *testing.T) {
-	is, w := is.New(t), newWorld()
-	w.silent["c"] = true
-	w.learner = &consensuspb.Member{Identity: "c.2", Instance: "c"}
-	w.live = w.live[:3]
-	w.live[2] = instance("c", true)
-	w.live[2].Identity = "c.2"
-	r := w.repairer()
-	w.pass(r, lookEvery)
-	is.Equal(len(w.changes), 1)
-	is.Equal([]string{w.changes[0].Add, w.changes[0].Remove}, []string{"c", "c.1"})
+	is, c := is.New(t), newFakeCluster()
+	c.unresponsive["c"] = true
+	c.learner = &consensuspb.Member{Identity: "c.2", Instance: "c"}
+	c.live = c.live[:3]
+	c.live[2] = instance("c", true)
+	c.live[2].Identity = "c.2"
+	r := c.repairer()
+	c.advance(r, checkInterval)
+	is.Equal(len(c.changes), 1)
+	is.Equal([]string{c.changes[0].Add, c.changes[0].Remove}, []string{"c", "c.1"})
 }
