--- a/internal/coordination/report/report.go
+++ b/internal/coordination/report/report.go
@@ -1,5 +1,5 @@
-// Package report works out completion, waste and fragmentation from the control
-// state. It is pure.
+// Package report computes completion times, waste and fragmentation from the control
+// state. Its functions are pure.
 package report
 
 import (
@@ -18,13 +18,13 @@
 
 const msPerSecond = 1000
 
-// State is what the report reads of the control state.
+// State is the part of the control state that the report reads.
 type State interface {
 	Items() []*controlpb.Item
 	Jobs() []*controlpb.Job
 }
 
-// Of reports on the state, with the live workers.
+// Of returns the report on the state and the live workers.
 func Of(state State, workers []*peerpb.Upstream) *api.Status {
 	jobs := state.Jobs()
 	customers := byCustomer(state.Items(), jobs)
@@ -37,20 +37,20 @@
 			total.guarantees = append(total.guarantees, c.declared)
 		}
 	}
-	held := map[string]uint32{}
+	allocated := map[string]uint32{}
 	for _, job := range jobs {
 		status.Jobs[StateName(job.State)]++
 		for _, placement := range job.Placements {
-			held[placement.Worker] += uint32(len(placement.Accelerators))
+			allocated[placement.Worker] += uint32(len(placement.Accelerators))
 		}
 	}
-	counted := waste.Of(jobs, workers, total.guarantees)
-	status.Accelerators = int(counted.Total)
-	status.Idle = int(counted.Idle)
+	usage := waste.Of(jobs, workers, total.guarantees)
+	status.Accelerators = int(usage.Total)
+	status.Idle = int(usage.Idle)
 	status.Used = status.Accelerators - status.Idle
-	status.Waste = total.waste(&counted)
+	status.Waste = total.waste(&usage)
 	status.Completion = total.completion()
-	status.Fragmentation = fragmentation.Of(idle(workers, held), demands(state.Items()))
+	status.Fragmentation = fragmentation.Of(idleWorkers(workers, allocated), demands(state.Items()))
 	return status
 }
 
@@ -70,13 +70,13 @@
 	return customers
 }
 
-// StateName is the name of a job's state in JSON and tables.
+// StateName returns the name of a job's state in JSON and tables.
 func StateName(state controlpb.JobState) string {
 	return strings.ToLower(store.StateName(state))
 }
 
-// customer is what is known of one customer, or of all together. A customer
-// whose declaration is gone may still have jobs.
+// customer holds the guarantees and jobs of one customer, or of all customers. A
+// customer whose declaration was removed may still have jobs.
 type customer struct {
 	declared   *controlpb.Customer
 	guarantees []*controlpb.Customer
@@ -84,50 +84,50 @@
 }
 
 func (c *customer) describe(name string, workers []*peerpb.Upstream) api.CustomerStatus {
-	counted := waste.Of(c.jobs, workers, c.guarantees)
-	described := api.CustomerStatus{
+	usage := waste.Of(c.jobs, workers, c.guarantees)
+	status := api.CustomerStatus{
 		Name:       name,
-		Used:       int(counted.Total - counted.Idle),
+		Used:       int(usage.Total - usage.Idle),
 		Completion: c.completion(),
-		Waste:      c.waste(&counted),
+		Waste:      c.waste(&usage),
 	}
 	for _, shape := range c.declared.GetGuarantee() {
-		described.Guaranteed += int(shape.Sets * shape.Accelerators)
+		status.Guaranteed += int(shape.Sets * shape.Accelerators)
 	}
 	for _, job := range c.jobs {
 		switch job.State {
 		case controlpb.JobState_JOB_STATE_WAITING:
-			described.Waiting++
+			status.Waiting++
 		case controlpb.JobState_JOB_STATE_RUNNING:
-			described.Running++
+			status.Running++
 		}
 	}
-	return described
+	return status
 }
 
-func (c *customer) waste(counted *waste.Waste) api.Waste {
-	described := api.Waste{
-		Reserved:        counted.ReservedSeconds,
-		Preempted:       counted.LostToPreemptionSeconds,
-		Retried:         counted.LostToRetriesSeconds,
-		ReservedNow:     int(counted.ReservedUnused),
-		IdleInGuarantee: int(counted.IdleInGuarantee),
+func (c *customer) waste(usage *waste.Waste) api.Waste {
+	wasted := api.Waste{
+		Reserved:        usage.ReservedSeconds,
+		Preempted:       usage.LostToPreemptionSeconds,
+		Retried:         usage.LostToRetriesSeconds,
+		ReservedNow:     int(usage.ReservedUnused),
+		IdleInGuarantee: int(usage.IdleInGuarantee),
 	}
 	for _, job := range c.jobs {
-		described.Run += float64(job.RanMs) * float64(job.Tasks*job.Accelerators) / msPerSecond
+		wasted.Run += float64(job.RanMs) * float64(job.Tasks*job.Accelerators) / msPerSecond
 	}
-	return described
+	return wasted
 }
 
 func (c *customer) completion() api.Completion {
 	var done api.Completion
-	var took []int64
+	var durations []int64
 	var sum int64
 	for _, job := range c.jobs {
 		if job.State != controlpb.JobState_JOB_STATE_COMPLETED {
 			continue
 		}
-		took = append(took, job.EndedMs-job.SubmittedMs)
+		durations = append(durations, job.EndedMs-job.SubmittedMs)
 		sum += job.EndedMs - job.SubmittedMs
 		if job.DeadlineMs != 0 && job.EndedMs <= job.DeadlineMs {
 			done.DeadlinesMet++
@@ -135,34 +135,34 @@
 			done.DeadlinesMissed++
 		}
 	}
-	if len(took) == 0 {
+	if len(durations) == 0 {
 		return done
 	}
-	slices.Sort(took)
-	done.Jobs = len(took)
-	done.MeanSeconds = float64(sum) / float64(len(took)) / msPerSecond
-	done.MedianSeconds = quantile(took, 0.5)
-	done.P99Seconds = quantile(took, 0.99)
+	slices.Sort(durations)
+	done.Jobs = len(durations)
+	done.MeanSeconds = float64(sum) / float64(len(durations)) / msPerSecond
+	done.MedianSeconds = quantile(durations, 0.5)
+	done.P99Seconds = quantile(durations, 0.99)
 	return done
 }
 
-// quantile is the nearest-rank quantile of sorted milliseconds, in seconds.
+// quantile returns the nearest-rank quantile, in seconds, of sorted milliseconds.
 func quantile(sorted []int64, q float64) float64 {
 	rank := int(math.Ceil(q * float64(len(sorted))))
 	return float64(sorted[rank-1]) / msPerSecond
 }
 
-func idle(workers []*peerpb.Upstream, held map[string]uint32) []fragmentation.Worker {
-	parts := make([]fragmentation.Worker, 0, len(workers))
+func idleWorkers(workers []*peerpb.Upstream, allocated map[string]uint32) []fragmentation.Worker {
+	result := make([]fragmentation.Worker, 0, len(workers))
 	for _, worker := range workers {
-		free := worker.Accelerators - min(held[worker.Id], worker.Accelerators)
-		parts = append(parts, fragmentation.Worker{DataCentre: worker.DataCentre, Rack: worker.Rack, Name: worker.Id, Idle: free})
+		free := worker.Accelerators - min(allocated[worker.Id], worker.Accelerators)
+		result = append(result, fragmentation.Worker{DataCentre: worker.DataCentre, Rack: worker.Rack, Name: worker.Id, Idle: free})
 	}
-	return parts
+	return result
 }
 
-// demands weighs each class by the entries that ask for it; a class that no
-// entry names may still be submitted, and counts once.
+// demands weights each work class by the number of entries that use it. A class without
+// entries may still be used by submitted jobs, so its weight is 1.
 func demands(items []*controlpb.Item) []fragmentation.Demand {
 	weights := map[string]float64{}
 	for _, item := range items {
@@ -170,10 +170,10 @@
 			weights[entry.WorkClass]++
 		}
 	}
-	var wanted []fragmentation.Demand
+	var result []fragmentation.Demand
 	for _, item := range items {
 		if class := item.GetWorkClass(); class != nil {
-			wanted = append(wanted, fragmentation.Demand{
+			result = append(result, fragmentation.Demand{
 				Tasks:        class.Tasks,
 				Accelerators: class.Accelerators,
 				Adjacency:    class.Adjacency,
@@ -181,5 +181,5 @@
 			})
 		}
 	}
-	return wanted
+	return result
 }
