--- a/internal/coordination/replica/delays.go
+++ b/internal/coordination/replica/delays.go
@@ -26,7 +26,7 @@
 }
 
 // delayWindow, in election timeouts, exceeds the longest randomised timeout after which
-// an election starts.
+// an election starts, as long as the timeout has not adapted to pauses.
 const delayWindow = 3
 
 func (d *delayTracker) record(now time.Time, window time.Duration, observed delays) {
--- a/internal/coordination/replica/replica.go
+++ b/internal/coordination/replica/replica.go
@@ -27,8 +27,8 @@
 const (
 	// electionTicks is the minimum election timeout in ticks.
 	electionTicks = 10
-	// maxElectionTicks limits the election timeout where it adapts to observed heartbeat
-	// gaps and pauses.
+	// maxElectionTicks limits the minimum election timeout where it adapts to observed
+	// heartbeat gaps and pauses.
 	maxElectionTicks = 4 * electionTicks
 	// heartbeatTicks allows three heartbeats to be lost before an election.
 	heartbeatTicks = 3
@@ -75,7 +75,7 @@
 	Files      disk.FS
 	DataFolder string
 	// ElectionTimeout is the minimum time without contact with a leader before an
-	// election; the maximum is twice that.
+	// election; the maximum is twice that unless the timeout has adapted to pauses.
 	ElectionTimeout time.Duration
 	FreshnessBound  time.Duration
 	// SnapshotEntries and SnapshotBytes limit the log between two snapshots; 0 selects
