--- a/internal/coordination/workflows/check.go
+++ b/internal/coordination/workflows/check.go
@@ -46,7 +46,7 @@
 	}
 	for _, earlier := range step.After {
 		if int(earlier) >= number {
-			return badRequest("step %d depends on step %d, which does not precede it", number, earlier)
+			return badRequest("step %d waits for step %d, which does not precede it", number, earlier)
 		}
 	}
 	return nil
