--- a/internal/transport/peers/bytes_test.go
+++ b/internal/transport/peers/bytes_test.go
@@ -17,11 +17,11 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// frameHeader is what yamux puts before the data of one write.
+// frameHeader is the size of the header that yamux adds to each write, in bytes.
 const frameHeader = 12
 
-// onWire is what one message costs on a stream that stands.
-func onWire(b *testing.B, message proto.Message) float64 {
+// wireBytes returns the bytes that a message takes on an open stream.
+func wireBytes(b *testing.B, message proto.Message) float64 {
 	b.Helper()
 	var out bytes.Buffer
 	if err := writeMessage(&out, message); err != nil {
@@ -43,8 +43,8 @@
 	return a
 }
 
-// BenchmarkBytesOfAnnouncement reports what one announcement and its answer cost
-// over HTTP, with header lines and without those of TCP and IP.
+// BenchmarkBytesOfAnnouncement reports the size of an announcement and its answer over
+// HTTP: with HTTP headers, without those of TCP and IP.
 func BenchmarkBytesOfAnnouncement(b *testing.B) {
 	for _, tasks := range []int{0, 10} {
 		b.Run(fmt.Sprintf("tasks=%d", tasks), func(b *testing.B) {
@@ -79,14 +79,14 @@
 	}
 }
 
-// BenchmarkBytesOfSoftState reports what an upstream costs between two instances:
-// whole when it is new, a part when tasks or load change, and a renewal, which
-// only the leader gets. Batches share the frame over many.
+// BenchmarkBytesOfSoftState reports the bytes per upstream between two instances: its
+// full state when it is new, a partial update when tasks or load change, and a renewal,
+// which only the leader gets. The overhead of a batch is shared by its upstreams.
 func BenchmarkBytesOfSoftState(b *testing.B) {
 	now := time.Unix(1_000_000, 0)
-	const held = 158 // 1,900 workers over 12 instances
+	const upstreams = 158 // 1,900 workers over 12 instances
 	announce := func(registry *membership.Registry, version uint64, tasks int) {
-		for i := range held {
+		for i := range upstreams {
 			a := announcementOf(tasks)
 			a.ID = fmt.Sprintf("worker-dc07-rack12-%04d", i)
 			a.Version = version
@@ -98,29 +98,29 @@
 	for range b.N {
 		registry := membership.NewRegistry(membership.Config{Self: "i1", Incarnation: 1, Now: func() time.Time { return now }})
 		announce(registry, 1, 9)
-		whole := registry.Changes(1, 0, 1<<20)
+		full := registry.Changes(1, 0, 1<<20)
 		announce(registry, 1<<20, 10)
-		part := registry.Changes(1, whole.To, 1<<20)
+		partial := registry.Changes(1, full.To, 1<<20)
 		renewal := &peerpb.SoftBatch{}
 		renewal.Renewed, renewal.Versions = registry.Renewals(map[uint32]uint64{})
-		b.ReportMetric(onWire(b, whole)/held, "B/upstream_whole")
-		b.ReportMetric(onWire(b, part)/held, "B/upstream_part")
-		b.ReportMetric(onWire(b, renewal)/held, "B/upstream_renewal")
+		b.ReportMetric(wireBytes(b, full)/upstreams, "B/upstream_whole")
+		b.ReportMetric(wireBytes(b, partial)/upstreams, "B/upstream_part")
+		b.ReportMetric(wireBytes(b, renewal)/upstreams, "B/upstream_renewal")
 	}
 }
 
-// BenchmarkBytesOfHeartbeat reports one ping and its answer, to an instance and
-// to a source of the log.
+// BenchmarkBytesOfHeartbeat reports the size of a ping and its answer on a watch and on a
+// follow stream.
 func BenchmarkBytesOfHeartbeat(b *testing.B) {
 	for range b.N {
-		b.ReportMetric(onWire(b, &peerpb.WatchPing{Number: 1 << 16}), "B/watch_ping")
-		b.ReportMetric(onWire(b, &peerpb.SoftBatch{Echo: 1 << 16}), "B/watch_answer")
-		b.ReportMetric(onWire(b, &peerpb.FollowPing{Number: 1 << 16}), "B/follow_ping")
-		b.ReportMetric(onWire(b, &peerpb.FollowBatch{Echo: 1 << 16, Commit: 1 << 20, AgeMs: 300}), "B/follow_answer")
+		b.ReportMetric(wireBytes(b, &peerpb.WatchPing{Number: 1 << 16}), "B/watch_ping")
+		b.ReportMetric(wireBytes(b, &peerpb.SoftBatch{Echo: 1 << 16}), "B/watch_answer")
+		b.ReportMetric(wireBytes(b, &peerpb.FollowPing{Number: 1 << 16}), "B/follow_ping")
+		b.ReportMetric(wireBytes(b, &peerpb.FollowBatch{Echo: 1 << 16, Commit: 1 << 20, AgeMs: 300}), "B/follow_answer")
 	}
 }
 
-// BenchmarkBytesOfCommands reports what one command adds to a batch of the log.
+// BenchmarkBytesOfCommands reports the size of a log batch with one command.
 func BenchmarkBytesOfCommands(b *testing.B) {
 	entry := &controlpb.Entry{Name: "span-001", Customer: "crews", WorkClass: "clearance", PeriodMs: 86_400_000, Attributes: map[string]string{"line": "Dolgarrog-12"}}
 	item := &controlpb.Item{Key: "entry/span-001", Body: &controlpb.Item_Entry{Entry: entry}}
@@ -135,7 +135,7 @@
 	for range b.N {
 		for name, command := range commands {
 			batch := &peerpb.FollowBatch{Echo: 1 << 16, Commit: 1 << 20, Entries: []*peerpb.LogEntry{{Index: 1 << 20, Term: 3, Command: command}}}
-			b.ReportMetric(onWire(b, batch), name)
+			b.ReportMetric(wireBytes(b, batch), name)
 		}
 	}
 }
--- a/internal/transport/peers/link.go
+++ b/internal/transport/peers/link.go
@@ -9,57 +9,59 @@
 	"github.com/hashicorp/yamux"
 )
 
-// pace is how often a link asks the other end for a sign of life, and how long it
-// waits: a link that went silent is found in their sum.
-type pace struct {
-	every   time.Duration
-	timeout time.Duration
+// keepAliveConfig sets how often a link pings its peer and how long it waits for the
+// reply. An unresponsive peer is detected within the sum of the two.
+type keepAliveConfig struct {
+	interval time.Duration
+	timeout  time.Duration
 }
 
-// signsOfLife cost an idle link 2 frames of 12 bytes each way in 5 s.
-var signsOfLife = pace{every: 5 * time.Second, timeout: 5 * time.Second}
+// defaultKeepAlive costs an idle link 2 frames of 12 bytes in each direction every 5 s.
+var defaultKeepAlive = keepAliveConfig{interval: 5 * time.Second, timeout: 5 * time.Second}
 
-// link is a yamux session that frees the readers of its streams before it ends.
+// link is a yamux session that unblocks pending reads on its streams before the session
+// shuts down.
 //
-// Between the moment at which a session is shut down and the one at which it marks
-// its streams as closed, a read that waits on a stream goes round in its loop without
-// ever sleeping. Two such reads take both threads of the process, the goroutine that
-// would mark the streams never runs, and the process hangs at full load. So before
-// anything shuts a session down, the deadlines of all its streams are moved into the
-// past: their reads end with a timeout instead. A session is shut down by a failed
-// read or write of its connection, by Close, and by nothing else, for its own
-// keep-alive is off.
+// Between the shutdown of a yamux session and the moment at which it marks its streams
+// as closed, a pending read on a stream busy-loops. Two such reads occupy both threads
+// of a process that has two, the goroutine that marks the streams never runs, and the
+// process hangs at full CPU load. Therefore the deadlines of all streams are set to a
+// time in the past before the session shuts down, so that pending reads return a
+// timeout instead. A session shuts down only when a read or write of its connection
+// fails or Close is called, because yamux's own keep-alive is disabled.
 type link struct {
 	*yamux.Session
-	signs   pace
-	mu      sync.Mutex
-	ended   bool
-	streams map[*yamux.Stream]struct{}
+	keepAlive keepAliveConfig
+	mu        sync.Mutex
+	closing   bool
+	streams   map[*yamux.Stream]struct{}
 }
 
-// newLink makes a session over the connection with the given side's constructor.
-func newLink(conn net.Conn, signs pace, side func(guarded net.Conn) (*yamux.Session, error)) (*link, error) {
-	l := &link{signs: signs, streams: map[*yamux.Stream]struct{}{}}
-	session, err := side(&guardedConn{Conn: conn, broken: l.expire})
+// newLink creates a link over conn; newSession is the constructor of the client or the
+// server side of a yamux session.
+func newLink(conn net.Conn, keepAlive keepAliveConfig, newSession func(conn net.Conn) (*yamux.Session, error)) (*link, error) {
+	l := &link{keepAlive: keepAlive, streams: map[*yamux.Stream]struct{}{}}
+	session, err := newSession(&notifyingConn{Conn: conn, onError: l.expireStreams})
 	if err != nil {
 		return nil, err
 	}
 	l.Session = session
-	go l.ping()
+	go l.runKeepAlive()
 	return l, nil
 }
 
 func clientLink(conn net.Conn) (*link, error) {
-	return newLink(conn, signsOfLife, func(guarded net.Conn) (*yamux.Session, error) { return yamux.Client(guarded, sessionConfig()) })
+	return newLink(conn, defaultKeepAlive, func(conn net.Conn) (*yamux.Session, error) { return yamux.Client(conn, sessionConfig()) })
 }
 
 func serverLink(conn net.Conn) (*link, error) {
-	return newLink(conn, signsOfLife, func(guarded net.Conn) (*yamux.Session, error) { return yamux.Server(guarded, sessionConfig()) })
+	return newLink(conn, defaultKeepAlive, func(conn net.Conn) (*yamux.Session, error) { return yamux.Server(conn, sessionConfig()) })
 }
 
-// ping closes the link when the other end is silent.
-func (l *link) ping() {
-	ticker := time.NewTicker(l.signs.every)
+// runKeepAlive pings the peer until the link is closed, and closes the link when a ping
+// fails or is not answered in time.
+func (l *link) runKeepAlive() {
+	ticker := time.NewTicker(l.keepAlive.interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -77,26 +79,26 @@
 			if err == nil {
 				continue
 			}
-		case <-time.After(l.signs.timeout):
+		case <-time.After(l.keepAlive.timeout):
 		}
 		l.Close()
 		return
 	}
 }
 
-// stream is a stream of a link.
+// stream is a yamux stream that the link tracks until it is closed.
 type stream struct {
 	*yamux.Stream
 	link *link
 }
 
-// Close ends the stream.
+// Close closes the stream and removes it from the link.
 func (s *stream) Close() error {
-	s.link.forget(s.Stream)
+	s.link.remove(s.Stream)
 	return s.Stream.Close()
 }
 
-// Open opens a stream.
+// Open opens a stream to the peer.
 func (l *link) Open() (*stream, error) {
 	opened, err := l.OpenStream()
 	if err != nil {
@@ -105,7 +107,7 @@
 	return l.add(opened), nil
 }
 
-// Accept waits for a stream of the other end.
+// Accept waits for a stream that the peer opens.
 func (l *link) Accept() (*stream, error) {
 	accepted, err := l.AcceptStream()
 	if err != nil {
@@ -114,7 +116,7 @@
 	return l.add(accepted), nil
 }
 
-func (l *link) forget(s *yamux.Stream) {
+func (l *link) remove(s *yamux.Stream) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.streams, s)
@@ -124,53 +126,54 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.streams[s] = struct{}{}
-	if l.ended {
-		_ = s.SetDeadline(longAgo)
+	if l.closing {
+		_ = s.SetDeadline(pastDeadline)
 	}
 	return &stream{Stream: s, link: l}
 }
 
-// expire ends every read and write that waits on a stream.
-func (l *link) expire() {
+// expireStreams makes all pending and later reads and writes of streams time out.
+func (l *link) expireStreams() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ended = true
+	l.closing = true
 	for s := range l.streams {
-		// A stream takes any deadline.
-		_ = s.SetDeadline(longAgo)
+		// SetDeadline of a yamux stream never fails.
+		_ = s.SetDeadline(pastDeadline)
 	}
 }
 
-// Close ends the link and all its streams.
+// Close closes the session and all its streams.
 func (l *link) Close() {
-	l.expire()
+	l.expireStreams()
 	l.Session.Close()
 }
 
-// closeWith closes the link when ctx ends.
-func (l *link) closeWith(ctx context.Context) (stop func() bool) {
+// closeOnDone closes the link when ctx is done, unless stop is called first.
+func (l *link) closeOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, l.Close)
 }
 
-// guardedConn tells of its first failure before whoever uses it learns of it.
-type guardedConn struct {
+// notifyingConn calls onError on the first failed read or write, before the error is
+// returned to the caller.
+type notifyingConn struct {
 	net.Conn
-	once   sync.Once
-	broken func()
+	once    sync.Once
+	onError func()
 }
 
-func (c *guardedConn) Read(p []byte) (int, error) {
+func (c *notifyingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil {
-		c.once.Do(c.broken)
+		c.once.Do(c.onError)
 	}
 	return n, err
 }
 
-func (c *guardedConn) Write(p []byte) (int, error) {
+func (c *notifyingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		c.once.Do(c.broken)
+		c.once.Do(c.onError)
 	}
 	return n, err
 }
--- a/internal/transport/peers/link_test.go
+++ b/internal/transport/peers/link_test.go
@@ -10,79 +10,80 @@
 	"github.com/matryer/is"
 )
 
-// stuckConn takes as long to close as the test wants.
-type stuckConn struct {
+// slowCloseConn blocks in Close until release is closed.
+type slowCloseConn struct {
 	net.Conn
 	release chan struct{}
 }
 
-func (c *stuckConn) Close() error {
+func (c *slowCloseConn) Close() error {
 	<-c.release
 	return c.Conn.Close()
 }
 
-// patience bounds the wait of a test for what never comes where the fault is back.
-const patience = 20 * time.Second
+// testTimeout limits how long a test waits for an event that a regression would prevent.
+const testTimeout = 20 * time.Second
 
-// linkWithReader gives a link whose connection is slow to close, a read that waits on
-// one of its streams, and the other end.
-func linkWithReader(t *testing.T) (l *link, ended chan error, there net.Conn) {
-	here, there := net.Pipe()
-	stuck := &stuckConn{Conn: here, release: make(chan struct{})}
-	l, err := clientLink(stuck)
+// newLinkWithPendingRead returns a link whose connection is slow to close, the channel
+// for the result of a pending read on one of its streams, and the remote end.
+func newLinkWithPendingRead(t *testing.T) (l *link, readErr chan error, remote net.Conn) {
+	local, remote := net.Pipe()
+	slow := &slowCloseConn{Conn: local, release: make(chan struct{})}
+	l, err := clientLink(slow)
 	is.New(t).NoErr(err)
-	go func() { _, _ = io.Copy(io.Discard, there) }()
+	go func() { _, _ = io.Copy(io.Discard, remote) }()
 	s, err := l.Open()
 	is.New(t).NoErr(err)
-	ended = make(chan error, 1)
+	readErr = make(chan error, 1)
 	go func() {
 		_, err := s.Read(make([]byte, 1))
-		ended <- err
+		readErr <- err
 	}()
 	t.Cleanup(func() {
-		close(stuck.release)
-		there.Close()
+		close(slow.release)
+		remote.Close()
 	})
-	return l, ended, there
+	return l, readErr, remote
 }
 
-// An instance closes a link while a read waits on a stream. From then until its
-// streams are marked as closed, such a read would go round without sleeping; with two
-// of them on two threads the marking never runs and the process hangs.
+// A read pends on a stream while its link is closed. Unless the read ends first, it
+// busy-loops until yamux marks the stream as closed; two such reads on two threads keep
+// that from happening and the process hangs.
 func TestReadsOfAClosingLinkEndBeforeItsStreams(t *testing.T) {
-	l, ended, _ := linkWithReader(t)
+	l, readErr, _ := newLinkWithPendingRead(t)
 	go l.Close()
-	endsWithTimeout(t, ended)
+	expectReadTimeout(t, readErr)
 }
 
-// The connection breaks under a link. Its reads end before the session learns of it.
-func TestReadsOfABrokenLinkEndBeforeItsStreams(t *testing.T) {
-	_, ended, there := linkWithReader(t)
-	there.Close()
-	endsWithTimeout(t, ended)
+// The connection of a link breaks. Pending reads must end before the session handles the
+// error, for the same reason as on Close.
+func TestPendingReadsEndWhenConnectionBreaks(t *testing.T) {
+	_, readErr, remote := newLinkWithPendingRead(t)
+	remote.Close()
+	expectReadTimeout(t, readErr)
 }
 
-func endsWithTimeout(t *testing.T, ended chan error) {
+func expectReadTimeout(t *testing.T, readErr chan error) {
 	t.Helper()
 	select {
-	case err := <-ended:
+	case err := <-readErr:
 		is.New(t).Equal(err, yamux.ErrTimeout)
-	case <-time.After(patience):
-		t.Fatal("the read goes on while the link closes")
+	case <-time.After(testTimeout):
+		t.Fatal("read still pending while the link closes")
 	}
 }
 
-// The other end takes everything and says nothing. The link finds that out by itself.
-func TestSilentLinkIsClosed(t *testing.T) {
-	here, there := net.Pipe()
-	defer there.Close()
-	go func() { _, _ = io.Copy(io.Discard, there) }()
-	quick := pace{every: time.Millisecond, timeout: time.Millisecond}
-	l, err := newLink(here, quick, func(guarded net.Conn) (*yamux.Session, error) { return yamux.Client(guarded, sessionConfig()) })
+// The peer reads everything and never replies. The keep-alive must close the link.
+func TestUnresponsiveLinkIsClosed(t *testing.T) {
+	local, remote := net.Pipe()
+	defer remote.Close()
+	go func() { _, _ = io.Copy(io.Discard, remote) }()
+	fast := keepAliveConfig{interval: time.Millisecond, timeout: time.Millisecond}
+	l, err := newLink(local, fast, func(conn net.Conn) (*yamux.Session, error) { return yamux.Client(conn, sessionConfig()) })
 	is.New(t).NoErr(err)
 	select {
 	case <-l.CloseChan():
-	case <-time.After(patience):
-		t.Fatal("the link was never closed")
+	case <-time.After(testTimeout):
+		t.Fatal("link not closed after keep-alive timeout")
 	}
 }
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries calls between the system's own instances: yamux
-// sessions over TCP, one stream a call, protobuf messages with a length before
-// each.
+// Package peers implements the transport between instances: yamux sessions over TCP,
+// optionally with mutual TLS, one stream per call. Each protobuf message is preceded by
+// its length: 4 bytes, little-endian.
 package peers
 
 import (
@@ -29,12 +29,14 @@
 
 const (
 	maxMessage = 64 << 20
-	// maxWrite bounds one frame of a session: the messages of other streams wait
-	// behind it, and its reader sees nothing before its end. 66 ms at 2 Mbit/s.
+	// maxWrite limits the bytes of one frame, because messages of other streams queue
+	// behind it and its reader receives nothing before its end. A frame of this size
+	// takes 66 ms at 2 Mbit/s.
 	maxWrite    = 16 << 10
 	dialTimeout = 2 * time.Second
-	// acceptPause is after an accept that failed; a descriptor is given back meanwhile.
-	acceptPause = 100 * time.Millisecond
+	// acceptRetryDelay is the wait after a failed accept, in which a file descriptor may
+	// become free.
+	acceptRetryDelay = 100 * time.Millisecond
 )
 
 var (
@@ -45,19 +47,19 @@
 	acceptsFailed = expvar.NewInt("peer_accepts_failed")
 )
 
-// Handler answers calls from other instances.
+// Handler handles calls from other instances.
 type Handler interface {
-	// Call answers one call with one reply.
+	// Call handles a unary call.
 	Call(ctx context.Context, call *peerpb.Call) (*peerpb.Reply, error)
-	// Follow sends batches until ctx or the stream ends.
+	// Follow sends batches of the log until ctx is done or the stream fails.
 	Follow(ctx context.Context, call *peerpb.Follow, stream control.Stream) error
-	// Watch sends soft state until ctx or the stream ends.
+	// Watch sends soft state until ctx is done or the stream fails.
 	Watch(ctx context.Context, call *peerpb.Watch, stream softstate.Stream) error
-	// Deliver takes one consensus message; it does not wait.
+	// Deliver passes on one consensus message without blocking.
 	Deliver(message *consensuspb.Message)
 }
 
-// Network dials the other instances and serves their calls.
+// Network calls other instances and serves their calls.
 type Network struct {
 	name      string
 	addresses map[string]netip.AddrPort
@@ -65,28 +67,29 @@
 	tls      *tlsfiles.Source
 	mu       sync.Mutex
 	sessions map[string]*link
-	// learned are instances that are not in addresses; their names are addresses.
-	learned map[string]bool
+	// discovered holds instances that are not in addresses; their names are addresses.
+	discovered map[string]bool
 }
 
-// NewNetwork makes the network of an instance; addresses are its peers'.
+// NewNetwork creates the network of the named instance; addresses maps the names of its
+// configured peers to their addresses.
 func NewNetwork(name string, addresses map[string]netip.AddrPort) *Network {
-	return &Network{name: name, addresses: addresses, sessions: map[string]*link{}, learned: map[string]bool{}}
+	return &Network{name: name, addresses: addresses, sessions: map[string]*link{}, discovered: map[string]bool{}}
 }
 
-// Learn adds instances that were heard of; their names are their addresses.
+// Learn adds discovered instances, whose names are their addresses.
 func (n *Network) Learn(names ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, name := range names {
 		if _, known := n.addresses[name]; !known && name != n.name && name != "" {
-			n.learned[name] = true
+			n.discovered[name] = true
 		}
 	}
 }
 
-// addressOf gives where to dial an instance. One that is not in the settings is
-// named by its address.
+// addressOf returns the address of an instance. The name of an instance that is not in
+// the settings is its address.
 func (n *Network) addressOf(name string) (netip.AddrPort, error) {
 	if address, ok := n.addresses[name]; ok {
 		return address, nil
@@ -98,10 +101,11 @@
 	return address, nil
 }
 
-// UseTLS makes every link mutual TLS; call it before the first link.
+// UseTLS enables mutual TLS for all connections. It must be called before the first
+// connection is made or accepted.
 func (n *Network) UseTLS(source *tlsfiles.Source) { n.tls = source }
 
-// Peers lists the other instances.
+// Peers returns the names of all other known instances.
 func (n *Network) Peers() []string {
 	names := make([]string, 0, len(n.addresses))
 	for name := range n.addresses {
@@ -111,15 +115,15 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for name := range n.learned {
+	for name := range n.discovered {
 		names = append(names, name)
 	}
 	return names
 }
 
-// Serve answers the calls that arrive on the listener until it is closed. An accept
-// that fails for another reason, as for want of a descriptor, is made again: without its
-// listener the instance would be cut off from the others for as long as it runs.
+// Serve handles the calls that arrive on the listener until it is closed. An accept that
+// fails for another reason, such as a lack of file descriptors, is retried: without the
+// accept loop the instance would be unreachable for the others until it restarts.
 func (n *Network) Serve(ctx context.Context, listener net.Listener, handler Handler) error {
 	for {
 		conn, err := listener.Accept()
@@ -132,7 +136,7 @@
 			return failure.Wrap(failure.Unreachable, err, "accept on %s", listener.Addr())
 		default:
 			acceptsFailed.Add(1)
-			control.Pause(ctx, acceptPause)
+			control.Pause(ctx, acceptRetryDelay)
 		}
 	}
 }
@@ -148,7 +152,7 @@
 		return
 	}
 	defer l.Close()
-	defer l.closeWith(ctx)()
+	defer l.closeOnDone(ctx)()
 	for {
 		stream, err := l.Accept()
 		if err != nil {
@@ -186,8 +190,8 @@
 	_ = writeMessage(stream, reply)
 }
 
-// Call sends one call to an instance and waits for its reply. A failure
-// before the call was written is surely not run; after that it is unknown.
+// Call sends a call to an instance and waits for its reply. An error that occurs before
+// the call is written says that it has not run; after that, the outcome is unknown.
 func (n *Network) Call(ctx context.Context, to string, call *peerpb.Call) (*peerpb.Reply, error) {
 	callsSent.Add(1)
 	reply, err := n.call(ctx, to, call)
@@ -203,7 +207,7 @@
 		return nil, err
 	}
 	defer stream.Close()
-	stop := endWith(ctx, stream)
+	stop := expireOnDone(ctx, stream)
 	defer stop()
 	call.From = n.name
 	if err := writeMessage(stream, call); err != nil {
@@ -219,16 +223,16 @@
 	return reply, nil
 }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline makes pending reads and writes time out at once.
+var pastDeadline = time.Unix(1, 0)
 
-// endWith makes reads and writes of a stream fail once ctx ends. Closing is not
-// enough: yamux lets a read on a stream that was closed on this side wait for
-// the other side, and a frozen or cut-off peer never answers. The caller would
-// then outlive its deadline, and a stopping instance its grace. A deadline in the
-// past wakes the reader whatever the peer does.
-func endWith(ctx context.Context, stream net.Conn) (stop func() bool) {
-	return context.AfterFunc(ctx, func() { _ = stream.SetDeadline(longAgo) })
+// expireOnDone makes reads and writes of a stream time out once ctx is done. Closing the
+// stream is not enough: a read on a locally closed yamux stream still waits for the
+// peer, and a frozen or partitioned peer never answers. The caller would exceed its
+// deadline, and a stopping instance its grace period. A deadline in the past unblocks
+// the read whatever the peer does.
+func expireOnDone(ctx context.Context, stream net.Conn) (stop func() bool) {
+	return context.AfterFunc(ctx, func() { _ = stream.SetDeadline(pastDeadline) })
 }
 
 func (n *Network) open(ctx context.Context, to string) (*stream, error) {
@@ -269,11 +273,12 @@
 		conn.Close()
 		return nil, failure.Wrap(failure.Unreachable, err, "session with %s", to)
 	}
-	return n.keep(to, session), nil
+	return n.storeSession(to, session), nil
 }
 
-// keep stores a session; of two dialled at once the first stays.
-func (n *Network) keep(to string, session *link) *link {
+// storeSession stores and returns the session, unless an open one was stored meanwhile
+// by a concurrent dial: then it closes the given one and returns the stored one.
+func (n *Network) storeSession(to string, session *link) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if earlier := n.sessions[to]; earlier != nil && !earlier.IsClosed() {
@@ -284,7 +289,7 @@
 	return session
 }
 
-// Close ends every session.
+// Close closes all sessions to other instances.
 func (n *Network) Close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -296,7 +301,7 @@
 func sessionConfig() *yamux.Config {
 	config := yamux.DefaultConfig()
 	config.LogOutput = io.Discard
-	// A link asks for signs of life itself: see link.
+	// The link does the keep-alive itself; see link.
 	config.EnableKeepAlive = false
 	config.ConnectionWriteTimeout = 5 * time.Second
 	return config
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -15,16 +15,17 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// The peer takes the call and never answers, but its session lives, as that of a
-// process does whose control thread is stuck. The caller's context ends. A call must then give up with an unknown outcome, and a
-// follower must return, or a stopping instance would wait for its peer.
+// The peer accepts the call and never answers while its session stays open, as with a
+// process whose control thread is stuck. When the caller's context ends, a call must
+// return with an unknown outcome and a follower must return; otherwise a stopping
+// instance would wait for its peer.
 func TestSilentPeerDoesNotOutliveContext(t *testing.T) {
 	is := is.New(t)
-	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer silent.Close()
+	defer listener.Close()
 	go func() {
-		conn, err := silent.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
@@ -34,36 +35,36 @@
 		}
 		<-session.CloseChan()
 	}()
-	network := NewNetwork("a", map[string]netip.AddrPort{"b": netip.MustParseAddrPort(silent.Addr().String())})
+	network := NewNetwork("a", map[string]netip.AddrPort{"b": netip.MustParseAddrPort(listener.Addr().String())})
 	defer network.Close()
 
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 2)
+	results := make(chan error, 2)
 	go func() {
 		_, err := network.Call(ctx, "b", &peerpb.Call{})
-		ended <- err
+		results <- err
 	}()
 	go func() {
 		stream, err := network.Follow(ctx, "b", &peerpb.Follow{})
 		if err == nil {
 			_, err = stream.Receive()
 		}
-		ended <- err
+		results <- err
 	}()
 	time.AfterFunc(10*time.Millisecond, cancel)
 	for range 2 {
-		f := failure.From(<-ended)
+		f := failure.From(<-results)
 		is.True(f.Code == failure.OutcomeUnknown || f.Code == failure.Unreachable)
 	}
 }
 
-// scarce is a listener that finds no descriptor left a few times.
-type scarce struct {
+// failingListener fails the given number of accepts for lack of file descriptors.
+type failingListener struct {
 	net.Listener
 	failures int
 }
 
-func (l *scarce) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if l.failures > 0 {
 		l.failures--
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: syscall.EMFILE}
@@ -71,15 +72,15 @@
 	return l.Listener.Accept()
 }
 
-// answering answers every call; its other methods are not called.
-type answering struct{ Handler }
+// replyingHandler replies to every call; its other methods are not used.
+type replyingHandler struct{ Handler }
 
-func (answering) Call(context.Context, *peerpb.Call) (*peerpb.Reply, error) {
+func (replyingHandler) Call(context.Context, *peerpb.Call) (*peerpb.Reply, error) {
 	return &peerpb.Reply{}, nil
 }
 
-// An instance that the others could never reach again, once an accept had failed for
-// want of a descriptor.
+// An accept fails for lack of file descriptors. The instance must go on accepting, or the
+// others could not reach it again.
 func TestListenerOutlivesAFailedAccept(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,7 +88,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error)
 	go func() {
-		served <- NewNetwork("b", nil).Serve(ctx, &scarce{listener, 2}, answering{})
+		served <- NewNetwork("b", nil).Serve(ctx, &failingListener{listener, 2}, replyingHandler{})
 	}()
 	network := NewNetwork("a", map[string]netip.AddrPort{"b": netip.MustParseAddrPort(listener.Addr().String())})
 	defer network.Close()
--- a/internal/transport/peers/replicate.go
+++ b/internal/transport/peers/replicate.go
@@ -11,7 +11,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// serveReplicate hands over consensus messages until the stream ends.
+// serveReplicate delivers consensus messages to the handler until the stream ends.
 func serveReplicate(ctx context.Context, reader *bufio.Reader, handler Handler) {
 	for ctx.Err() == nil {
 		message := &consensuspb.Message{}
@@ -22,7 +22,7 @@
 	}
 }
 
-// messageStream carries consensus messages one way.
+// messageStream sends consensus messages to one instance.
 type messageStream struct {
 	to     string
 	stream net.Conn
@@ -30,8 +30,8 @@
 	stop   func() bool
 }
 
-// Messages opens a stream for consensus messages to an instance. It ends with
-// ctx or by Close.
+// Messages opens a stream of consensus messages to an instance. It is closed by Close or
+// when ctx is done.
 func (n *Network) Messages(ctx context.Context, to string) (control.MessageStream, error) {
 	stream, err := n.open(ctx, to)
 	if err != nil {
@@ -46,7 +46,7 @@
 	return &messageStream{to: to, stream: stream, writer: bufio.NewWriter(stream), stop: stop}, nil
 }
 
-// Send writes messages in one go.
+// Send writes the messages and flushes them together.
 func (s *messageStream) Send(messages ...*consensuspb.Message) error {
 	for _, message := range messages {
 		if err := writeMessage(s.writer, message); err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Close ends the stream.
+// Close closes the stream.
 func (s *messageStream) Close() error {
 	s.stop()
 	return s.stream.Close()
--- a/internal/transport/peers/secure.go
+++ b/internal/transport/peers/secure.go
@@ -10,28 +10,30 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// handshakeTimeout keeps a peer that never finishes from holding a connection.
+// handshakeTimeout limits how long a peer that does not complete the handshake holds a
+// connection.
 const handshakeTimeout = 5 * time.Second
 
 var handshakesRefused = expvar.NewInt("peer_handshakes_refused")
 
-// secureServer wraps an accepted connection. Without the handshake first, a
-// stranger could speak the peers' protocol and vote.
+// secureServer does the TLS handshake of an accepted connection if TLS is enabled. It
+// comes before any call: an unauthenticated client could otherwise use the peer protocol
+// and vote.
 func (n *Network) secureServer(ctx context.Context, conn net.Conn) (net.Conn, error) {
 	if n.tls == nil {
 		return conn, nil
 	}
-	return shakeHands(ctx, conn, tls.Server(conn, n.tls.MutualServer()))
+	return handshake(ctx, conn, tls.Server(conn, n.tls.MutualServer()))
 }
 
 func (n *Network) secureClient(ctx context.Context, to string, conn net.Conn) (net.Conn, error) {
 	if n.tls == nil {
 		return conn, nil
 	}
-	return shakeHands(ctx, conn, tls.Client(conn, n.tls.MutualClient(to)))
+	return handshake(ctx, conn, tls.Client(conn, n.tls.MutualClient(to)))
 }
 
-func shakeHands(ctx context.Context, conn net.Conn, secure *tls.Conn) (net.Conn, error) {
+func handshake(ctx context.Context, conn net.Conn, secure *tls.Conn) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
 	if err := secure.HandshakeContext(ctx); err != nil {
--- a/internal/transport/peers/secure_test.go
+++ b/internal/transport/peers/secure_test.go
@@ -19,38 +19,38 @@
 	"pinewinch.example/pinewinch/internal/transport/tlsfiles"
 )
 
-type acknowledging struct{}
+type ackHandler struct{}
 
-func (acknowledging) Call(context.Context, *peerpb.Call) (*peerpb.Reply, error) {
+func (ackHandler) Call(context.Context, *peerpb.Call) (*peerpb.Reply, error) {
 	return &peerpb.Reply{Body: &peerpb.Reply_Ack{Ack: &peerpb.Ack{}}}, nil
 }
 
-func (acknowledging) Deliver(*consensuspb.Message) {}
+func (ackHandler) Deliver(*consensuspb.Message) {}
 
-func (acknowledging) Follow(context.Context, *peerpb.Follow, control.Stream) error { return nil }
+func (ackHandler) Follow(context.Context, *peerpb.Follow, control.Stream) error { return nil }
 
-func (acknowledging) Watch(context.Context, *peerpb.Watch, softstate.Stream) error { return nil }
+func (ackHandler) Watch(context.Context, *peerpb.Watch, softstate.Stream) error { return nil }
 
-// Instance b serves its peers with mutual TLS. One with a certificate of the
-// authority is answered. One without TLS, with a stranger's certificate, or that
-// finds another instance at the address, gets no answer, and surely ran nothing.
+// Instance b serves its peers with mutual TLS. A peer with a certificate of the
+// authority gets a reply. A peer without TLS, with a certificate of another authority, or
+// that expects another instance at the address gets none, and its call is not run.
 func TestPeersNeedCertificate(t *testing.T) {
 	folder := t.TempDir()
 	is := is.New(t)
-	ours, err := testcerts.New(folder, "ours")
+	authority, err := testcerts.New(folder, "ours")
 	is.NoErr(err)
-	theirs, err := testcerts.New(folder, "theirs")
+	otherAuthority, err := testcerts.New(folder, "theirs")
 	is.NoErr(err)
-	is.NoErr(ours.Issue(folder, "a"))
-	is.NoErr(ours.Issue(folder, "b"))
-	is.NoErr(theirs.Issue(folder, "stranger"))
+	is.NoErr(authority.Issue(folder, "a"))
+	is.NoErr(authority.Issue(folder, "b"))
+	is.NoErr(otherAuthority.Issue(folder, "stranger"))
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := NewNetwork("b", nil)
-	served.UseTLS(open(t, folder, "b", "ours"))
+	served.UseTLS(openSource(t, folder, "b", "ours"))
 	done := make(chan error, 1)
-	go func() { done <- served.Serve(ctx, listener, acknowledging{}) }()
+	go func() { done <- served.Serve(ctx, listener, ackHandler{}) }()
 	defer func() {
 		cancel()
 		listener.Close()
@@ -61,10 +61,10 @@
 		to     string
 		answer bool
 	}{
-		"signed":           {open(t, folder, "a", "ours"), "b", true},
+		"signed":           {openSource(t, folder, "a", "ours"), "b", true},
 		"plain":            {nil, "b", false},
-		"other authority":  {open(t, folder, "stranger", "ours"), "b", false},
-		"another instance": {open(t, folder, "a", "ours"), "c", false},
+		"other authority":  {openSource(t, folder, "stranger", "ours"), "b", false},
+		"another instance": {openSource(t, folder, "a", "ours"), "c", false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 }
 
-func open(t *testing.T, folder, name, authority string) *tlsfiles.Source {
+func openSource(t *testing.T, folder, name, authority string) *tlsfiles.Source {
 	source, err := tlsfiles.Open(tlsfiles.Files{
 		Certificate: filepath.Join(folder, name+".pem"),
 		Key:         filepath.Join(folder, name+".key"),
--- a/internal/transport/peers/streams.go
+++ b/internal/transport/peers/streams.go
@@ -14,26 +14,27 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// duplex is one end of a stream that carries messages both ways: batches from
-// the instance that was asked, pings from the one that asked.
+// duplex is one end of a bidirectional message stream: the serving instance sends
+// batches, the instance that opened the stream sends pings.
 type duplex[Out proto.Message, In any, InMessage interface {
 	*In
 	proto.Message
 }] struct {
-	other  string
+	peer   string
 	stream net.Conn
 	reader *bufio.Reader
-	// bytesReceived counts the bytes received; nil if the count is not used.
+	// bytesReceived counts the bytes received; nil if they are not counted.
 	bytesReceived *atomic.Uint64
-	// refused finds the failure with which the other side ends the stream.
-	refused func(InMessage) *peerpb.Failure
-	stop    func() bool
+	// failureOf returns the failure with which the peer ends the stream, or nil; it is nil
+	// itself on the serving side.
+	failureOf func(InMessage) *peerpb.Failure
+	stop      func() bool
 }
 
 // Send writes one message.
 func (d *duplex[Out, In, InMessage]) Send(message Out) error {
 	if err := writeMessage(d.stream, message); err != nil {
-		return failure.Wrap(failure.Unreachable, err, "send to %s", d.other)
+		return failure.Wrap(failure.Unreachable, err, "send to %s", d.peer)
 	}
 	return nil
 }
@@ -42,10 +43,10 @@
 func (d *duplex[Out, In, InMessage]) Receive() (InMessage, error) {
 	message := InMessage(new(In))
 	if err := readMessage(d.reader, message); err != nil {
-		return nil, failure.Wrap(failure.Unreachable, err, "receive from %s", d.other)
+		return nil, failure.Wrap(failure.Unreachable, err, "receive from %s", d.peer)
 	}
-	if d.refused != nil {
-		if f := d.refused(message); f != nil {
+	if d.failureOf != nil {
+		if f := d.failureOf(message); f != nil {
 			return nil, decodeFailure(f)
 		}
 	}
@@ -55,14 +56,14 @@
 // BytesReceived returns the number of bytes received.
 func (d *duplex[Out, In, InMessage]) BytesReceived() uint64 { return d.bytesReceived.Load() }
 
-// Close ends the stream, and a Receive that waits on it: see endWith.
+// Close closes the stream and unblocks a pending Receive; see expireOnDone.
 func (d *duplex[Out, In, InMessage]) Close() error {
 	d.stop()
-	_ = d.stream.SetDeadline(longAgo)
+	_ = d.stream.SetDeadline(pastDeadline)
 	return d.stream.Close()
 }
 
-// countingReader counts what is read from a stream.
+// countingReader counts the bytes read from a stream.
 type countingReader struct {
 	stream net.Conn
 	count  *atomic.Uint64
@@ -75,56 +76,59 @@
 }
 
 type (
-	followServing = duplex[*peerpb.FollowBatch, peerpb.FollowPing, *peerpb.FollowPing]
-	followAsking  = duplex[*peerpb.FollowPing, peerpb.FollowBatch, *peerpb.FollowBatch]
-	watchServing  = duplex[*peerpb.SoftBatch, peerpb.WatchPing, *peerpb.WatchPing]
-	watchAsking   = duplex[*peerpb.WatchPing, peerpb.SoftBatch, *peerpb.SoftBatch]
+	followServerStream = duplex[*peerpb.FollowBatch, peerpb.FollowPing, *peerpb.FollowPing]
+	followClientStream = duplex[*peerpb.FollowPing, peerpb.FollowBatch, *peerpb.FollowBatch]
+	watchServerStream  = duplex[*peerpb.SoftBatch, peerpb.WatchPing, *peerpb.WatchPing]
+	watchClientStream  = duplex[*peerpb.WatchPing, peerpb.SoftBatch, *peerpb.SoftBatch]
 )
 
-// serveFollow tells the follower why its stream ends, so that it goes to the
-// next source at once. The deadline at the end frees the reader of its pings.
+// serveFollow sends the follower the failure that ends its stream, so that it switches
+// to the next source at once. The deadline set on return unblocks the reader of pings.
 func serveFollow(ctx context.Context, call *peerpb.Call, stream net.Conn, reader *bufio.Reader, handler Handler) {
-	defer stream.SetDeadline(longAgo)
-	serving := &followServing{other: call.From, stream: stream, reader: reader}
-	if err := handler.Follow(ctx, call.GetFollow(), serving); err != nil {
-		_ = serving.Send(&peerpb.FollowBatch{Failure: encodeFailure(failure.From(err))})
+	defer stream.SetDeadline(pastDeadline)
+	server := &followServerStream{peer: call.From, stream: stream, reader: reader}
+	if err := handler.Follow(ctx, call.GetFollow(), server); err != nil {
+		_ = server.Send(&peerpb.FollowBatch{Failure: encodeFailure(failure.From(err))})
 	}
 }
 
 func serveWatch(ctx context.Context, call *peerpb.Call, stream net.Conn, reader *bufio.Reader, handler Handler) {
-	defer stream.SetDeadline(longAgo)
-	serving := &watchServing{other: call.From, stream: stream, reader: reader}
-	if err := handler.Watch(ctx, call.GetWatch(), serving); err != nil {
-		_ = serving.Send(&peerpb.SoftBatch{Failure: encodeFailure(failure.From(err))})
+	defer stream.SetDeadline(pastDeadline)
+	server := &watchServerStream{peer: call.From, stream: stream, reader: reader}
+	if err := handler.Watch(ctx, call.GetWatch(), server); err != nil {
+		_ = server.Send(&peerpb.SoftBatch{Failure: encodeFailure(failure.From(err))})
 	}
 }
 
-// Follow asks an instance for its log. The stream ends with ctx or by Close.
+// Follow opens a stream of the log of an instance. It is closed by Close or when ctx is
+// done.
 func (n *Network) Follow(ctx context.Context, to string, follow *peerpb.Follow) (control.SourceStream, error) {
-	stream, stop, err := n.ask(ctx, to, &peerpb.Call{Body: &peerpb.Call_Follow{Follow: follow}})
+	stream, stop, err := n.openStream(ctx, to, &peerpb.Call{Body: &peerpb.Call_Follow{Follow: follow}})
 	if err != nil {
 		return nil, err
 	}
 	bytesReceived := &atomic.Uint64{}
 	reader := bufio.NewReader(&countingReader{stream: stream, count: bytesReceived})
-	return &followAsking{
-		other: to, stream: stream, reader: reader, bytesReceived: bytesReceived, stop: stop, refused: (*peerpb.FollowBatch).GetFailure,
+	return &followClientStream{
+		peer: to, stream: stream, reader: reader, bytesReceived: bytesReceived, stop: stop, failureOf: (*peerpb.FollowBatch).GetFailure,
 	}, nil
 }
 
-// Watch asks an instance for its soft state. The stream ends with ctx or by Close.
+// Watch opens a stream of the soft state of an instance. It is closed by Close or when
+// ctx is done.
 func (n *Network) Watch(ctx context.Context, to string, watch *peerpb.Watch) (softstate.SourceStream, error) {
-	stream, stop, err := n.ask(ctx, to, &peerpb.Call{Body: &peerpb.Call_Watch{Watch: watch}})
+	stream, stop, err := n.openStream(ctx, to, &peerpb.Call{Body: &peerpb.Call_Watch{Watch: watch}})
 	if err != nil {
 		return nil, err
 	}
-	return &watchAsking{
-		other: to, stream: stream, reader: bufio.NewReader(stream), stop: stop, refused: (*peerpb.SoftBatch).GetFailure,
+	return &watchClientStream{
+		peer: to, stream: stream, reader: bufio.NewReader(stream), stop: stop, failureOf: (*peerpb.SoftBatch).GetFailure,
 	}, nil
 }
 
-// ask opens a stream with a call that batches answer.
-func (n *Network) ask(ctx context.Context, to string, call *peerpb.Call) (net.Conn, func() bool, error) {
+// openStream opens a stream and sends the call that the peer answers with batches. stop
+// releases the association of the stream with ctx.
+func (n *Network) openStream(ctx context.Context, to string, call *peerpb.Call) (net.Conn, func() bool, error) {
 	stream, err := n.open(ctx, to)
 	if err != nil {
 		return nil, nil, err
@@ -132,7 +136,7 @@
 	call.From = n.name
 	if err := writeMessage(stream, call); err != nil {
 		stream.Close()
-		return nil, nil, failure.Wrap(failure.Unreachable, err, "ask %s", to)
+		return nil, nil, failure.Wrap(failure.Unreachable, err, "request stream from %s", to)
 	}
-	return stream, endWith(ctx, stream), nil
+	return stream, expireOnDone(ctx, stream), nil
 }
