--- a/internal/transport/httpapi/auth.go
+++ b/internal/transport/httpapi/auth.go
@@ -9,15 +9,16 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// named is a handler that knows who asks.
-type named func(w http.ResponseWriter, r *http.Request, who string)
+// authenticatedHandler is a handler that gets the name of the caller: a customer or an
+// operator.
+type authenticatedHandler func(w http.ResponseWriter, r *http.Request, caller string)
 
-// everyCustomer stands for an operator where a customer is expected.
-const everyCustomer = ""
+// allCustomers is the caller name passed for an operator where a customer is expected.
+const allCustomers = ""
 
-func (s *Server) asCustomer(handle named) http.HandlerFunc {
+func (s *Server) requireCustomer(handle authenticatedHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		customer, ok := holder(r, s.settings.Customers)
+		customer, ok := callerOf(r, s.settings.Customers)
 		if !ok {
 			writeError(w, unauthorized())
 			return
@@ -26,9 +27,9 @@
 	}
 }
 
-func (s *Server) asOperator(handle named) http.HandlerFunc {
+func (s *Server) requireOperator(handle authenticatedHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		operator, ok := holder(r, s.settings.Operators)
+		operator, ok := callerOf(r, s.settings.Operators)
 		if !ok {
 			writeError(w, unauthorized())
 			return
@@ -37,25 +38,25 @@
 	}
 }
 
-// asAny serves a customer, or an operator as everyCustomer.
-func (s *Server) asAny(handle named) http.HandlerFunc {
-	customers := s.asCustomer(handle)
+// requireCustomerOrOperator passes the handler allCustomers for an operator.
+func (s *Server) requireCustomerOrOperator(handle authenticatedHandler) http.HandlerFunc {
+	customers := s.requireCustomer(handle)
 	return func(w http.ResponseWriter, r *http.Request) {
-		if _, ok := holder(r, s.settings.Operators); ok {
-			handle(w, r, everyCustomer)
+		if _, ok := callerOf(r, s.settings.Operators); ok {
+			handle(w, r, allCustomers)
 			return
 		}
 		customers(w, r)
 	}
 }
 
-// asUpstream wants the upstreams' token where one is set. Without it any
-// process that reaches the port could announce itself and be sent work.
-func (s *Server) asUpstream(handle http.HandlerFunc) http.HandlerFunc {
+// requireUpstream checks the token of upstreams if one is configured. Without it any
+// process that can reach the port could announce itself and be sent work.
+func (s *Server) requireUpstream(handle http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		wanted := s.settings.Upstreams.Token
-		given := bearer(r)
-		if wanted != nil && subtle.ConstantTimeCompare(given[:], wanted) != 1 {
+		expected := s.settings.Upstreams.Token
+		got := bearerHash(r)
+		if expected != nil && subtle.ConstantTimeCompare(got[:], expected) != 1 {
 			writeError(w, unauthorized())
 			return
 		}
@@ -63,22 +64,25 @@
 	}
 }
 
-func unauthorized() *failure.Error { return failure.New(failure.Unauthorized, "no such token") }
+func unauthorized() *failure.Error {
+	return failure.New(failure.Unauthorized, "missing or unknown token")
+}
 
-// bearer gives the hash of the token that came.
-func bearer(r *http.Request) [sha256.Size]byte {
+// bearerHash returns the SHA-256 hash of the request's bearer token.
+func bearerHash(r *http.Request) [sha256.Size]byte {
 	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return sha256.Sum256([]byte(token))
 }
 
-// holder finds whose token came. Every stored hash is compared, each in
-// constant time, so that timing tells nothing of which came near.
-func holder(r *http.Request, hashes map[string][]byte) (who string, ok bool) {
-	given := bearer(r)
+// callerOf returns the name whose token hash matches the request's token. It compares
+// all stored hashes, each in constant time, so that response times reveal nothing about
+// them.
+func callerOf(r *http.Request, hashes map[string][]byte) (caller string, ok bool) {
+	got := bearerHash(r)
 	for name, hash := range hashes {
-		if subtle.ConstantTimeCompare(given[:], hash) == 1 {
-			who, ok = name, true
+		if subtle.ConstantTimeCompare(got[:], hash) == 1 {
+			caller, ok = name, true
 		}
 	}
-	return who, ok
+	return caller, ok
 }
--- a/internal/transport/httpapi/declarations.go
+++ b/internal/transport/httpapi/declarations.go
@@ -14,12 +14,12 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// catchUp is how long an apply waits for this instance to reach the revision
-// that the operator read elsewhere.
-const catchUp = 2 * time.Second
+// revisionTimeout limits how long an apply waits until this instance has the revision
+// that the operator read, possibly at another instance.
+const revisionTimeout = 2 * time.Second
 
-// getDeclarations is refused by an instance whose state is old: an operator
-// would compare with what is no longer in force, or with nothing at all.
+// getDeclarations fails if the state of this instance is stale: the operator would
+// compare with declarations that are no longer in force, or with none at all.
 func (s *Server) getDeclarations(w http.ResponseWriter, _ *http.Request, _ string) {
 	if err := s.control.Fresh(); err != nil {
 		writeError(w, err)
@@ -44,7 +44,7 @@
 	for _, text := range apply.Set {
 		item := &controlpb.Item{}
 		if err := protojson.Unmarshal(text, item); err != nil {
-			writeError(w, failure.Wrap(failure.BadDeclaration, err, "item does not decode"))
+			writeError(w, failure.Wrap(failure.BadDeclaration, err, "cannot decode item"))
 			return
 		}
 		op.Set = append(op.Set, item)
@@ -66,13 +66,12 @@
 	writeJSON(w, api.ApplyReply{Revision: result.Revision, Index: result.Index})
 }
 
-// checkApply holds a change against the rules before it is proposed. The log
-// accepts it only at the expected revision, so what was checked at that revision
-// is what comes into force. An older expectation is left to the log: it is a
-// conflict, or the resend of a change that was accepted, which has to get its
-// first answer.
+// checkApply validates a change before it is proposed. The log accepts it only at the
+// expected revision, so the declarations that take effect are those validated here. If
+// the state is already newer, the log decides: the change is a conflict, or the resend of
+// an accepted change, which must get its first result.
 func (s *Server) checkApply(ctx context.Context, op *controlpb.ApplyItems, allowInfeasible bool) error {
-	state, err := s.stateAt(ctx, op.ExpectedRevision)
+	state, err := s.awaitRevision(ctx, op.ExpectedRevision)
 	if err != nil {
 		return err
 	}
@@ -93,9 +92,10 @@
 	return found
 }
 
-// stateAt waits until this instance has at least the revision.
-func (s *Server) stateAt(ctx context.Context, revision uint64) (*store.State, error) {
-	ctx, cancel := context.WithTimeout(ctx, catchUp)
+// awaitRevision returns the state once its revision is at least the given one, or a
+// StaleState failure after revisionTimeout.
+func (s *Server) awaitRevision(ctx context.Context, revision uint64) (*store.State, error) {
+	ctx, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
 	for {
 		changed := s.control.Changed()
--- a/internal/transport/httpapi/feasible.go
+++ b/internal/transport/httpapi/feasible.go
@@ -13,8 +13,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// checkFeasible refuses classes and guarantees that the workers could not serve
-// with nothing else running: they would wait for ever, and be noticed late.
+// checkFeasible rejects classes of work and guarantees that the known workers could not
+// serve even when idle: their jobs would wait forever, and the mistake would be noticed
+// late.
 func (s *Server) checkFeasible(items []*controlpb.Item, set []*controlpb.Item, allow bool) error {
 	workers, known := s.knownWorkers()
 	if allow || !known {
@@ -24,7 +25,7 @@
 	guarantees := false
 	for _, item := range set {
 		if class := item.GetWorkClass(); class != nil {
-			if reason := infeasible(class, workers); reason != "" {
+			if reason := infeasibleReason(class, workers); reason != "" {
 				violations = append(violations, declaration.Violation{Item: item.Key, Reason: reason})
 			}
 		}
@@ -36,24 +37,24 @@
 	if len(violations) == 0 {
 		return nil
 	}
-	return failure.Wrap(failure.Infeasible, problems(violations), "%d problems with the %d workers known now", len(violations), len(workers))
+	return failure.Wrap(failure.Infeasible, problems(violations), "%d problems with the %d workers currently known", len(violations), len(workers))
 }
 
-// checkSubmit refuses a job that no worker known could run.
+// checkSubmit rejects a job of a class that the known workers could not run.
 func (s *Server) checkSubmit(class *controlpb.WorkClass) error {
 	workers, known := s.knownWorkers()
 	if !known {
 		return nil
 	}
-	if reason := infeasible(class, workers); reason != "" {
+	if reason := infeasibleReason(class, workers); reason != "" {
 		return failure.New(failure.Infeasible, "class %s: %s", class.Name, reason)
 	}
 	return nil
 }
 
-// knownWorkers lists the live workers. Nothing is known until every worker has
-// had time to announce itself to some instance and the news to come here: a
-// starting instance would call possible work impossible.
+// knownWorkers returns the live workers. known is false until every worker has had time
+// to announce itself to some instance and this instance to receive it; before that,
+// feasible work would be rejected as infeasible.
 func (s *Server) knownWorkers() (workers []scheduling.Worker, known bool) {
 	if time.Since(s.started) < api.AnnouncementsMissed*s.settings.Upstreams.AnnounceEvery+announceGrace {
 		return nil, false
@@ -71,8 +72,8 @@
 	return workers, len(workers) > 0
 }
 
-// infeasible says why a class cannot run, or nothing if it can.
-func infeasible(class *controlpb.WorkClass, workers []scheduling.Worker) string {
+// infeasibleReason returns why a class cannot run on the workers, or "" if it can.
+func infeasibleReason(class *controlpb.WorkClass, workers []scheduling.Worker) string {
 	shape := scheduling.ClassShape(class)
 	found := scheduling.Feasible(shape, workers)
 	if found.Feasible {
@@ -97,8 +98,8 @@
 	return strings.ToLower(strings.TrimPrefix(adjacency.String(), "ADJACENCY_"))
 }
 
-// unmetGuarantees asks the scheduler itself whether it finds a place for every
-// guarantee at once on empty workers.
+// unmetGuarantees runs a scheduling pass to check whether all guarantees can be met at
+// the same time on idle workers.
 func unmetGuarantees(items []*controlpb.Item, workers []scheduling.Worker) []declaration.Violation {
 	customers := map[string]*controlpb.Customer{}
 	for _, item := range items {
@@ -112,7 +113,7 @@
 		violations = append(violations, declaration.Violation{
 			Item:   declaration.CustomerKey(unmet.Customer),
 			Field:  "guarantee",
-			Reason: fmt.Sprintf("no place beside the other guarantees for a set of %d accelerators, adjacency %s", unmet.Accelerators, adjacencyName(unmet.Adjacency)),
+			Reason: fmt.Sprintf("a set of %d accelerators, adjacency %s, does not fit alongside the other guarantees", unmet.Accelerators, adjacencyName(unmet.Adjacency)),
 		})
 	}
 	return violations
--- a/internal/transport/httpapi/feasible_test.go
+++ b/internal/transport/httpapi/feasible_test.go
@@ -15,9 +15,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// The fleet has two workers of 8 in one rack and one in another. A class or a
-// guarantee that they could never serve is refused with what would fit; with
-// allow_infeasible, or while the fleet isn't known yet, it is accepted.
+// Two workers with 8 accelerators each are in one rack and one in another. A class or a
+// guarantee that they could never serve is rejected, with the nearest shape that fits;
+// with allow_infeasible, or while the workers are not known yet, it is accepted.
 func TestInfeasible(t *testing.T) {
 	server, _ := newServer(t)
 	for i, rack := range []string{"r1", "r1", "r2"} {
@@ -37,25 +37,25 @@
 		}}}
 	}
 	tests := map[string]struct {
-		item  *controlpb.Item
-		young bool
-		allow bool
-		want  string
+		item        *controlpb.Item
+		justStarted bool
+		allow       bool
+		want        string
 	}{
 		"class fits":             {item: class(2, 8)},
 		"gang too wide":          {item: class(3, 8), want: "[class/c]: 3 tasks of 8 accelerators, 0 cores and 0 MB, adjacency rack fit nowhere; the nearest that fits: 2 tasks of 8 accelerators, 0 cores and 0 MB, adjacency rack; or adjacency data_centre"},
 		"task too large":         {item: class(1, 16), want: "the nearest that fits: 1 tasks of 8 accelerators"},
 		"allowed":                {item: class(3, 8), allow: true},
-		"fleet not known yet":    {item: class(3, 8), young: true},
+		"fleet not known yet":    {item: class(3, 8), justStarted: true},
 		"guarantee fits":         {item: customer(1)},
-		"guarantees do not fit":  {item: customer(2), want: "[customer/x] guarantee: no place beside the other guarantees for a set of 16 accelerators, adjacency rack"},
+		"guarantees do not fit":  {item: customer(2), want: "[customer/x] guarantee: a set of 16 accelerators, adjacency rack, does not fit alongside the other guarantees"},
 		"guarantee, not checked": {item: customer(2), allow: true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			server.started = time.Now().Add(-time.Hour)
-			if test.young {
+			if test.justStarted {
 				server.started = time.Now()
 			}
 			err := server.checkFeasible(nil, []*controlpb.Item{test.item}, test.allow)
@@ -68,8 +68,8 @@
 	}
 }
 
-// The examples fit the fleets that the brief describes: 50 workers with 8
-// accelerators each, in racks of 8 over three data centres, and of 6 over four.
+// The example declarations are feasible on the fleets of the brief: 50 workers with 8
+// accelerators each, in racks of 8 in three data centres, and in racks of 6 in four.
 func TestExamplesFitTheirFleets(t *testing.T) {
 	tests := map[string]struct {
 		dataCentres, perRack, cores int
--- a/internal/transport/httpapi/jobs.go
+++ b/internal/transport/httpapi/jobs.go
@@ -18,12 +18,13 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// jobKeyPattern keeps job ids, which end in the key, fit for paths and tables.
+// jobKeyPattern limits keys to characters that are safe in URL paths and tables: a job ID
+// ends in its key.
 var jobKeyPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{0,128}$`)
 
-// Explainer knows why jobs wait, wherever the newest pass was made.
+// Explainer returns why jobs wait, from whichever instance made the newest pass.
 type Explainer interface {
-	// Explain gives a reason without a code for a job that no pass left waiting.
+	// Explain returns an explanation without a code if no pass left the job waiting.
 	Explain(ctx context.Context, job string) (*peerpb.Explanation, error)
 }
 
@@ -94,7 +95,8 @@
 	writeJSON(w, describe(result.Job))
 }
 
-// propose commits a command and turns a refusal by the state into its failure.
+// propose commits a command, turns a rejection by the state into a failure, and waits
+// until this instance has applied an accepted one.
 func (s *Server) propose(r *http.Request, command *controlpb.Command) (*controlpb.Result, error) {
 	result, err := s.control.Propose(r.Context(), command)
 	if err != nil {
@@ -104,24 +106,23 @@
 		f := failure.New(failure.Code(result.Code), "%s", result.Detail)
 		f.Revision = result.Revision
 		if f.Code == failure.StaleSequence {
-			// Its result is forgotten; it may have run.
+			// The result is no longer kept; the command may have run.
 			f.NotRun = failure.NotRunUnknown
 		}
 		return nil, f
 	}
-	s.awaitOwn(r.Context(), result.Index)
+	s.awaitApplied(r.Context(), result.Index)
 	return result, nil
 }
 
-// ownStateWait bounds how long an accepted command waits to be seen here.
-const ownStateWait = time.Second
+// applyTimeout limits the wait until this instance applies an accepted command.
+const applyTimeout = time.Second
 
-// awaitOwn lets this instance's state catch up with what it has just had
-// accepted: a caller that submits a job and asks for it at the same instance
-// would otherwise be told now and then that there is none. A command is
-// accepted whether or not the state catches up in time.
-func (s *Server) awaitOwn(ctx context.Context, index uint64) {
-	ctx, cancel := context.WithTimeout(ctx, ownStateWait)
+// awaitApplied waits until this instance has applied the log up to the index, so that
+// callers read their own writes: a job that was just submitted could otherwise be unknown
+// at the same instance. The command is accepted even if the wait times out.
+func (s *Server) awaitApplied(ctx context.Context, index uint64) {
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	_ = control.AwaitIndex(ctx, s.control, index)
 }
@@ -129,7 +130,7 @@
 func (s *Server) listJobs(w http.ResponseWriter, _ *http.Request, customer string) {
 	jobs := []api.Job{}
 	for _, job := range s.control.State().Jobs() {
-		if customer == everyCustomer || job.Customer == customer {
+		if customer == allCustomers || job.Customer == customer {
 			jobs = append(jobs, describe(job))
 		}
 	}
@@ -137,7 +138,7 @@
 }
 
 func (s *Server) getJob(w http.ResponseWriter, r *http.Request, customer string) {
-	job, err := s.ownJob(r, customer)
+	job, err := s.findJob(r, customer)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -145,17 +146,18 @@
 	writeJSON(w, describe(job))
 }
 
-// ownJob finds a job of the customer; another's is as unknown as none.
-func (s *Server) ownJob(r *http.Request, customer string) (*controlpb.Job, error) {
+// findJob returns the job if it belongs to the customer; a job of another customer is
+// reported as not found.
+func (s *Server) findJob(r *http.Request, customer string) (*controlpb.Job, error) {
 	job, ok := s.control.State().Job(mux.Vars(r)["id"])
-	if !ok || (customer != everyCustomer && job.Customer != customer) {
+	if !ok || (customer != allCustomers && job.Customer != customer) {
 		return nil, failure.New(failure.NotFound, "no such job")
 	}
 	return job, nil
 }
 
 func (s *Server) explain(w http.ResponseWriter, r *http.Request, customer string) {
-	job, err := s.ownJob(r, customer)
+	job, err := s.findJob(r, customer)
 	if err != nil {
 		writeError(w, err)
 		return
--- a/internal/transport/httpapi/operators.go
+++ b/internal/transport/httpapi/operators.go
@@ -15,9 +15,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// statusWait bounds how long a status asked for with ?after=INDEX waits for
-// something newer.
-const statusWait = 20 * time.Second
+// statusTimeout limits how long a status request with ?after=INDEX waits for a newer
+// state.
+const statusTimeout = 20 * time.Second
 
 func (s *Server) status(w http.ResponseWriter, r *http.Request, _ string) {
 	if err := s.awaitIndex(r); err != nil {
@@ -34,8 +34,8 @@
 	writeJSON(w, status)
 }
 
-// awaitIndex holds the answer until the state is newer than the index that the
-// caller has, so that watching costs nothing while nothing happens.
+// awaitIndex implements long polling: it waits until the state is newer than the index
+// that the caller has.
 func (s *Server) awaitIndex(r *http.Request) error {
 	text := r.URL.Query().Get("after")
 	if text == "" {
@@ -45,7 +45,7 @@
 	if err != nil {
 		return failure.New(failure.BadRequest, "after is a log index, not %q", text)
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), statusWait)
+	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	for {
 		changed := s.control.Changed()
@@ -77,7 +77,7 @@
 	writeJSON(w, members)
 }
 
-// Voters changes who keeps the log.
+// Voters changes the replicas that keep the log.
 type Voters interface {
 	ChangeMembers(ctx context.Context, change *peerpb.ChangeMembers) error
 }
@@ -108,8 +108,8 @@
 	writeJSON(w, struct{}{})
 }
 
-// stateDump is what this process knows, for a person in trouble. Tokens and
-// bodies of requests are left out.
+// stateDump is the state of this process for troubleshooting. It contains no tokens and
+// no request bodies.
 type stateDump struct {
 	Instance  string                  `json:"instance"`
 	Leader    string                  `json:"leader"`
--- a/internal/transport/httpapi/own_test.go
+++ b/internal/transport/httpapi/own_test.go
@@ -16,7 +16,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// follower has a command accepted elsewhere and sees it lag later.
+// follower has commands accepted by a leader and applies them after lag.
 type follower struct {
 	*control.PublishedState
 	lag time.Duration
@@ -32,10 +32,10 @@
 	return result, nil
 }
 
-// A caller submits a job at a follower and asks the same instance for it at
-// once. The leader has accepted the job, but its entry reaches the follower
-// 80 ms later; without a wait the caller is told that there is no such job.
-func TestASubmittedJobIsFoundAtTheSameInstance(t *testing.T) {
+// A caller submits a job at a follower and reads it back from the same instance at once.
+// The leader has accepted the job, but the follower applies its entry 80 ms later;
+// without a wait the job would not be found.
+func TestSubmittedJobIsReadableAtSameInstance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, l := newServer(t)
@@ -47,9 +47,9 @@
 	})
 }
 
-// A follower that stays behind still answers: the job is accepted, and holding
-// the answer back would not change that.
-func TestAnAcceptedJobIsAnsweredWithoutTheOwnState(t *testing.T) {
+// A follower that does not catch up still answers: the job is accepted, and delaying the
+// answer further would not change that.
+func TestSubmitIsAnsweredWhenFollowerLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s, l := newServer(t)
@@ -58,7 +58,7 @@
 		s.control = f
 		began := time.Now()
 		is.Equal(jobCall(s, http.MethodPost, api.PathJobs, `{"class":"survey","key":"k"}`), http.StatusOK)
-		is.Equal(time.Since(began), ownStateWait)
+		is.Equal(time.Since(began), applyTimeout)
 	})
 }
 
--- a/internal/transport/httpapi/requests.go
+++ b/internal/transport/httpapi/requests.go
@@ -12,7 +12,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// maxKeyLength bounds what a caller may make the control state keep.
+// maxKeyLength limits the key that the control state stores for a caller, in bytes.
 const maxKeyLength = 128
 
 func (s *Server) request(w http.ResponseWriter, r *http.Request, customer string) {
@@ -31,19 +31,19 @@
 	request := &routing.Request{Customer: customer, Service: mux.Vars(r)["service"], Key: key, Body: body}
 	sink := &answerSink{w: w, request: request}
 	request.Sink = sink
-	request.Accepted = func() { announceKey(w, r, request.Key) }
+	request.Accepted = func() { sendKeyEarly(w, r, request.Key) }
 	answer, err := s.executor.Do(ctx, request)
-	if !sink.closeUnlessBegun() {
+	if !sink.closeUnlessStarted() {
 		sink.finish(answer, err)
 		return
 	}
 	reply(w, request.Key, answer, err)
 }
 
-// announceKey tells the caller the key that was made for it as soon as the
-// request may run, in an interim answer: a caller that loses its connection
-// later can still ask for the outcome.
-func announceKey(w http.ResponseWriter, r *http.Request, key string) {
+// sendKeyEarly sends the generated key in an interim response (103 Early Hints) as soon
+// as the request may run, so that a caller that loses its connection later can still look
+// up the outcome.
+func sendKeyEarly(w http.ResponseWriter, r *http.Request, key string) {
 	if !r.ProtoAtLeast(1, 1) {
 		return
 	}
@@ -51,27 +51,27 @@
 	w.WriteHeader(http.StatusEarlyHints)
 }
 
-// answer gives a caller that lost its connection the outcome of its own
-// request. It waits only as long as the caller says in the deadline header.
+// answer returns the outcome of an earlier request to a caller that lost its connection.
+// It waits until the deadline in the request header, or answerLookupTimeout without one.
 func (s *Server) answer(w http.ResponseWriter, r *http.Request, customer string) {
-	left, ok := api.Deadline(r.Header)
+	remaining, ok := api.Deadline(r.Header)
 	if !ok {
-		left = answerLookup
+		remaining = answerLookupTimeout
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), left)
+	ctx, cancel := context.WithTimeout(r.Context(), remaining)
 	defer cancel()
 	key := mux.Vars(r)["key"]
 	answer, err := s.executor.Answer(ctx, customer, key)
 	reply(w, key, answer, err)
 }
 
-// answerLookup bounds a look-up whose caller named no deadline: enough to ask
-// another instance.
-const answerLookup = 2 * time.Second
+// answerLookupTimeout limits a lookup without a deadline; it allows for a call to another
+// instance.
+const answerLookupTimeout = 2 * time.Second
 
 func callerContext(r *http.Request) (context.Context, context.CancelFunc) {
-	if left, ok := api.Deadline(r.Header); ok {
-		return context.WithTimeout(r.Context(), left)
+	if remaining, ok := api.Deadline(r.Header); ok {
+		return context.WithTimeout(r.Context(), remaining)
 	}
 	return context.WithCancel(r.Context())
 }
@@ -83,7 +83,7 @@
 		return
 	}
 	writeAnswerHeader(w, key, answer)
-	// The status is sent; a caller that went away is seen by its own side.
+	// The status has been sent, so a write error cannot be reported.
 	_, _ = w.Write(answer.Body)
 }
 
--- a/internal/transport/httpapi/server.go
+++ b/internal/transport/httpapi/server.go
@@ -1,5 +1,5 @@
-// Package httpapi serves callers, operators and upstreams over HTTP: one file
-// per endpoint family.
+// Package httpapi implements the HTTP API for callers, operators and upstreams, with one
+// file per group of endpoints.
 package httpapi
 
 import (
@@ -22,7 +22,7 @@
 	"pinewinch.example/pinewinch/internal/settings"
 )
 
-// Server answers the HTTP interfaces of one instance.
+// Server handles the HTTP API of one instance.
 type Server struct {
 	settings  *settings.Settings
 	control   control.Log
@@ -30,21 +30,21 @@
 	executor  *claims.Executor
 	explainer Explainer
 	voters    Voters
-	// started is when this instance began to hear upstreams.
+	// started is the time from which this instance receives announcements of upstreams.
 	started  time.Time
 	stopping atomic.Bool
 }
 
-// New makes a server.
+// New creates the server of one instance.
 func New(s *settings.Settings, log control.Log, registry *membership.Registry, executor *claims.Executor, explainer Explainer, voters Voters) *Server {
 	return &Server{settings: s, control: log, registry: registry, executor: executor, explainer: explainer, voters: voters, started: time.Now()}
 }
 
-// Handler gives the routes.
+// Handler returns the handler of all routes.
 func (s *Server) Handler() http.Handler {
 	routes := mux.NewRouter()
-	routes.NotFoundHandler = refuse(failure.NotFound, "no such path")
-	routes.MethodNotAllowedHandler = refuse(failure.WrongMethod, "the path has no such method")
+	routes.NotFoundHandler = errorHandler(failure.NotFound, "no such path")
+	routes.MethodNotAllowedHandler = errorHandler(failure.WrongMethod, "the path has no such method")
 	s.upstreamRoutes(routes)
 	s.customerRoutes(routes)
 	s.operatorRoutes(routes)
@@ -54,67 +54,68 @@
 }
 
 func (s *Server) upstreamRoutes(routes *mux.Router) {
-	routes.HandleFunc(api.PathAnnounceWorker, s.asUpstream(s.announceWorker)).Methods(http.MethodPost)
-	routes.HandleFunc(api.PathAnnounceMinion, s.asUpstream(s.announceMinion)).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathAnnounceWorker, s.requireUpstream(s.announceWorker)).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathAnnounceMinion, s.requireUpstream(s.announceMinion)).Methods(http.MethodPost)
 }
 
-// customerRoutes serve one customer what is its own. Operators may look at jobs
-// of all customers, and cancel them.
+// customerRoutes adds the routes of customers, which are limited to a customer's own
+// objects. Operators may read and cancel the jobs and workflows of all customers.
 func (s *Server) customerRoutes(routes *mux.Router) {
-	routes.HandleFunc(api.PathRequests, s.asCustomer(s.untilTimeout(s.request))).Methods(http.MethodPost)
-	routes.HandleFunc(api.PathAnswer, s.asCustomer(s.answer)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathJobs, s.asCustomer(s.submitJob)).Methods(http.MethodPost)
-	routes.HandleFunc(api.PathJobs, s.asAny(s.listJobs)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathJob, s.asAny(s.getJob)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathJob, s.asAny(s.cancelJob)).Methods(http.MethodDelete)
-	routes.HandleFunc(api.PathWorkflows, s.asCustomer(s.submitWorkflow)).Methods(http.MethodPost)
-	routes.HandleFunc(api.PathWorkflow, s.asAny(s.getWorkflow)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathWorkflow, s.asAny(s.cancelWorkflow)).Methods(http.MethodDelete)
-	routes.HandleFunc(api.PathExplain, s.asAny(s.explain)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathRequests, s.requireCustomer(s.extendWriteDeadline(s.request))).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathAnswer, s.requireCustomer(s.answer)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathJobs, s.requireCustomer(s.submitJob)).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathJobs, s.requireCustomerOrOperator(s.listJobs)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathJob, s.requireCustomerOrOperator(s.getJob)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathJob, s.requireCustomerOrOperator(s.cancelJob)).Methods(http.MethodDelete)
+	routes.HandleFunc(api.PathWorkflows, s.requireCustomer(s.submitWorkflow)).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathWorkflow, s.requireCustomerOrOperator(s.getWorkflow)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathWorkflow, s.requireCustomerOrOperator(s.cancelWorkflow)).Methods(http.MethodDelete)
+	routes.HandleFunc(api.PathExplain, s.requireCustomerOrOperator(s.explain)).Methods(http.MethodGet)
 }
 
-// answerMargin is the time beyond a service's own timeout in which its body is
-// read and its answer written.
+// answerMargin is the time beyond the timeout of a service that is allowed for reading
+// the request body and writing the answer.
 const answerMargin = time.Minute
 
-// untilTimeout lets an answer be written as late as the service's timeout
-// allows. Under the server's general deadline the connection of a long request
-// would break when its answer is ready, and the caller would lose the outcome of
-// work that was done.
-func (s *Server) untilTimeout(handle named) named {
-	return func(w http.ResponseWriter, r *http.Request, who string) {
+// extendWriteDeadline extends the write deadline of the response to the timeout of the
+// service plus answerMargin. With the server's general deadline the connection of a long
+// request would be closed before its answer is written, and the caller would lose the
+// outcome of completed work.
+func (s *Server) extendWriteDeadline(handle authenticatedHandler) authenticatedHandler {
+	return func(w http.ResponseWriter, r *http.Request, caller string) {
 		if service, ok := s.control.State().Service(mux.Vars(r)["service"]); ok {
 			allowed := time.Duration(service.TimeoutMs)*time.Millisecond + answerMargin
-			// A writer without deadlines has no general one either.
+			// A writer that supports no deadlines has no general one either.
 			_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(allowed))
 		}
-		handle(w, r, who)
+		handle(w, r, caller)
 	}
 }
 
 func (s *Server) operatorRoutes(routes *mux.Router) {
-	routes.HandleFunc(api.PathDeclarations, s.asOperator(s.getDeclarations)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathDeclarations, s.asOperator(s.applyDeclarations)).Methods(http.MethodPost)
-	routes.HandleFunc(api.PathStatus, s.asOperator(s.status)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathMembers, s.asOperator(s.members)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathMembers, s.asOperator(s.changeMembers)).Methods(http.MethodPost)
-	routes.HandleFunc(api.PathDrain, s.asOperator(s.drain)).Methods(http.MethodPost, http.MethodDelete)
-	routes.HandleFunc(api.PathState, s.asOperator(s.dump)).Methods(http.MethodGet)
-	routes.HandleFunc(api.PathVars, s.asOperator(vars)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathDeclarations, s.requireOperator(s.getDeclarations)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathDeclarations, s.requireOperator(s.applyDeclarations)).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathStatus, s.requireOperator(s.status)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathMembers, s.requireOperator(s.members)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathMembers, s.requireOperator(s.changeMembers)).Methods(http.MethodPost)
+	routes.HandleFunc(api.PathDrain, s.requireOperator(s.drain)).Methods(http.MethodPost, http.MethodDelete)
+	routes.HandleFunc(api.PathState, s.requireOperator(s.dump)).Methods(http.MethodGet)
+	routes.HandleFunc(api.PathVars, s.requireOperator(vars)).Methods(http.MethodGet)
 }
 
 func vars(w http.ResponseWriter, r *http.Request, _ string) { expvar.Handler().ServeHTTP(w, r) }
 
-// refuse gives the router's own errors the body of every other.
-func refuse(code failure.Code, message string) http.Handler {
+// errorHandler returns a handler that answers the router's own errors in the common error
+// format.
+func errorHandler(code failure.Code, message string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		writeError(w, failure.New(code, "%s: %s %s", message, r.Method, r.URL.Path))
 	})
 }
 
-// closeWhenStopping gives notice on each connection that it ends with this
-// answer, so that its caller sends the next request elsewhere and none is lost
-// on a connection that is being closed.
+// closeWhenStopping sets Connection: close on answers of a stopping instance, so that
+// callers open their next connection to another instance and no request is lost on a
+// connection that is being closed.
 func (s *Server) closeWhenStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.stopping.Load() {
@@ -124,11 +125,11 @@
 	})
 }
 
-// Stopping tells whether the instance has begun to stop.
+// Stopping reports whether BeginStop was called.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// BeginStop makes the instance not ready, so that the balancer turns away.
-// Requests that still come are served.
+// BeginStop makes the readiness check fail, so that the load balancer stops sending
+// requests. Requests that still arrive are served.
 func (s *Server) BeginStop() { s.stopping.Store(true) }
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
@@ -169,7 +170,7 @@
 
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The status is sent; a caller that went away is seen by its own side.
+	// The status has been sent, so a write error cannot be reported.
 	_ = json.NewEncoder(w).Encode(value)
 }
 
--- a/internal/transport/httpapi/server_test.go
+++ b/internal/transport/httpapi/server_test.go
@@ -26,43 +26,43 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// log applies commands at once, as the only voter would.
-type log struct {
+// fakeLog applies commands at once, like a log with a single voter.
+type fakeLog struct {
 	state   *store.State
 	changed chan struct{}
 	stale   error
 }
 
-func (l *log) State() *store.State      { return l.state }
-func (l *log) Fresh() error             { return l.stale }
-func (l *log) Changed() <-chan struct{} { return l.changed }
-func (l *log) Leader() string           { return "i1" }
-func (l *log) IsLeader() bool           { return true }
+func (l *fakeLog) State() *store.State      { return l.state }
+func (l *fakeLog) Fresh() error             { return l.stale }
+func (l *fakeLog) Changed() <-chan struct{} { return l.changed }
+func (l *fakeLog) Leader() string           { return "i1" }
+func (l *fakeLog) IsLeader() bool           { return true }
 
-func (l *log) Propose(_ context.Context, command *controlpb.Command) (*controlpb.Result, error) {
+func (l *fakeLog) Propose(_ context.Context, command *controlpb.Command) (*controlpb.Result, error) {
 	state, result := l.state.Apply(l.state.Index()+1, command)
 	l.state = state
 	return result, nil
 }
 
-type noReasons struct{}
+type emptyExplainer struct{}
 
-func (noReasons) Explain(context.Context, string) (*peerpb.Explanation, error) {
+func (emptyExplainer) Explain(context.Context, string) (*peerpb.Explanation, error) {
 	return &peerpb.Explanation{}, nil
 }
 
-const declared = `[customer crews]
+const testDeclarations = `[customer crews]
 [customer planners]
 [class survey]
 accelerators = 4
 run_time = 1m
 `
 
-func newServer(t *testing.T) (*Server, *log) {
+func newServer(t *testing.T) (*Server, *fakeLog) {
 	is := is.New(t)
-	items, err := declaration.Parse("f", []byte(declared))
+	items, err := declaration.Parse("f", []byte(testDeclarations))
 	is.NoErr(err)
-	l := &log{state: store.New(), changed: make(chan struct{})}
+	l := &fakeLog{state: store.New(), changed: make(chan struct{})}
 	_, err = l.Propose(context.Background(), &controlpb.Command{Op: &controlpb.Command_Apply{Apply: &controlpb.ApplyItems{Set: items}}})
 	is.NoErr(err)
 	hash := func(token string) []byte {
@@ -75,11 +75,11 @@
 		Upstreams: settings.Upstreams{AnnounceEvery: time.Second, Lease: 10 * time.Second, Token: hash("upstream-secret")},
 		Requests:  settings.Requests{MaxBodyBytes: 4096},
 	}
-	return New(s, l, membership.NewRegistry(membership.Config{Now: time.Now}), nil, noReasons{}, nil), l
+	return New(s, l, membership.NewRegistry(membership.Config{Now: time.Now}), nil, emptyExplainer{}, nil), l
 }
 
-// answer sends one call and decodes an error's body.
-func answer(t *testing.T, handler http.Handler, method, path, token string, body []byte) (*httptest.ResponseRecorder, api.ErrorBody) {
+// send sends one request and decodes the body of an error.
+func send(t *testing.T, handler http.Handler, method, path, token string, body []byte) (*httptest.ResponseRecorder, api.ErrorBody) {
 	request := httptest.NewRequest(method, path, bytes.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+token)
 	recorder := httptest.NewRecorder()
@@ -91,13 +91,13 @@
 	return recorder, refusal
 }
 
-// Every call without the right token, to a path that is none or with too much
-// in it gets a typed body, and another customer's job is as unknown as none.
+// Requests with a wrong token, an unknown path or an invalid body get an error body with a
+// code, and a job of another customer is reported as not found.
 func TestRefusals(t *testing.T) {
 	server, _ := newServer(t)
 	handler := server.Handler()
 	submit := []byte(`{"class":"survey","key":"k1"}`)
-	recorder, _ := answer(t, handler, http.MethodPost, "/v1/jobs", "crews-secret", submit)
+	recorder, _ := send(t, handler, http.MethodPost, "/v1/jobs", "crews-secret", submit)
 	is.New(t).Equal(recorder.Code, http.StatusOK)
 	announcement := []byte(`{"id":"w1","address":"127.0.0.1:1"}`)
 	large := []byte(`{"key":"` + strings.Repeat("x", 8192) + `"}`)
@@ -133,7 +133,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			recorder, refusal := answer(t, handler, test.method, test.path, test.token, test.body)
+			recorder, refusal := send(t, handler, test.method, test.path, test.token, test.body)
 			is.Equal(refusal.Code, test.want)
 			if test.want != "" {
 				is.Equal(refusal.NotRun, failure.NotRunTrue)
@@ -141,13 +141,13 @@
 			}
 		})
 	}
-	recorder, _ = answer(t, handler, http.MethodGet, "/v1/jobs", "planners-secret", nil)
+	recorder, _ = send(t, handler, http.MethodGet, "/v1/jobs", "planners-secret", nil)
 	is.New(t).Equal(strings.TrimSpace(recorder.Body.String()), "[]")
 }
 
-// An operator calls the interface without the tool. A change that breaks the
-// rules is refused whole; a resend of an accepted one gets its first outcome,
-// though the same change would be a conflict now.
+// An operator calls the API directly. An invalid change is rejected as a whole; a resend
+// of an accepted change gets its first result, although the same change without its
+// client and sequence is a conflict by then.
 func TestApply(t *testing.T) {
 	server, l := newServer(t)
 	handler := server.Handler()
@@ -160,7 +160,7 @@
 		}
 		body, err := json.Marshal(request)
 		is.NoErr(err)
-		recorder, refusal := answer(t, handler, http.MethodPost, "/v1/declarations", "ops-secret", body)
+		recorder, refusal := send(t, handler, http.MethodPost, "/v1/declarations", "ops-secret", body)
 		reply := api.ApplyReply{}
 		is.NoErr(json.Unmarshal(recorder.Body.Bytes(), &reply))
 		return reply, refusal
@@ -186,37 +186,37 @@
 	is.Equal(refusal.Revision, uint64(2))
 }
 
-// An instance is cut off. An operator that asks it is sent elsewhere instead of
-// comparing with declarations that are no longer in force.
+// An instance is partitioned from the others. It must refuse to return its declarations,
+// which may no longer be in force.
 func TestStaleDeclarationsAreRefused(t *testing.T) {
 	is := is.New(t)
 	server, l := newServer(t)
-	recorder, _ := answer(t, server.Handler(), http.MethodGet, "/v1/declarations", "ops-secret", nil)
+	recorder, _ := send(t, server.Handler(), http.MethodGet, "/v1/declarations", "ops-secret", nil)
 	is.Equal(recorder.Code, http.StatusOK)
 	l.stale = failure.New(failure.StaleState, "cut off")
-	_, refusal := answer(t, server.Handler(), http.MethodGet, "/v1/declarations", "ops-secret", nil)
+	_, refusal := send(t, server.Handler(), http.MethodGet, "/v1/declarations", "ops-secret", nil)
 	is.Equal(refusal.Code, failure.StaleState)
 }
 
-// A service may take longer than the server allows for an answer in general.
-// The answer has to reach the caller, or work that was done looks lost.
+// The timeout of a service exceeds the general write deadline of the server. The answer
+// must still reach the caller, or completed work would appear lost.
 func TestLongRequestIsAnswered(t *testing.T) {
 	is := is.New(t)
 	server, l := newServer(t)
 	slow := &controlpb.Item{Key: "service/slow", Body: &controlpb.Item_Service{Service: &controlpb.Service{Name: "slow", TimeoutMs: 60_000}}}
 	_, err := l.Propose(context.Background(), &controlpb.Command{Op: &controlpb.Command_Apply{Apply: &controlpb.ApplyItems{ExpectedRevision: 1, Set: []*controlpb.Item{slow}}}})
 	is.NoErr(err)
-	general := 100 * time.Millisecond
+	writeTimeout := 100 * time.Millisecond
 	routes := mux.NewRouter()
-	routes.HandleFunc(api.PathRequests, server.asCustomer(server.untilTimeout(func(w http.ResponseWriter, _ *http.Request, _ string) {
-		time.Sleep(3 * general)
+	routes.HandleFunc(api.PathRequests, server.requireCustomer(server.extendWriteDeadline(func(w http.ResponseWriter, _ *http.Request, _ string) {
+		time.Sleep(3 * writeTimeout)
 		_, _ = w.Write([]byte("done"))
 	})))
-	web := httptest.NewUnstartedServer(routes)
-	web.Config.WriteTimeout = general
-	web.Start()
-	defer web.Close()
-	request, err := http.NewRequest(http.MethodPost, web.URL+"/v1/requests/slow", nil)
+	httpServer := httptest.NewUnstartedServer(routes)
+	httpServer.Config.WriteTimeout = writeTimeout
+	httpServer.Start()
+	defer httpServer.Close()
+	request, err := http.NewRequest(http.MethodPost, httpServer.URL+"/v1/requests/slow", nil)
 	is.NoErr(err)
 	request.Header.Set("Authorization", "Bearer crews-secret")
 	response, err := http.DefaultClient.Do(request)
--- a/internal/transport/httpapi/sink.go
+++ b/internal/transport/httpapi/sink.go
@@ -13,13 +13,13 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// answerSink passes a large answer on to the caller while it arrives. Sending
-// may outlive the caller's handler, so the sink is closed with the handler:
-// nothing is written to a response that is over.
+// answerSink streams a large answer to the caller while it arrives. The exchange with the
+// upstream may outlive the caller's handler, so the handler closes the sink before it
+// returns: nothing is written to a response after that.
 type answerSink struct {
 	w       http.ResponseWriter
 	request *routing.Request
-	begun   atomic.Bool
+	started atomic.Bool
 	mu      sync.Mutex
 	closed  bool
 }
@@ -28,10 +28,10 @@
 func (s *answerSink) Begin(answer *api.Answer) (io.Writer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || s.begun.Load() {
+	if s.closed || s.started.Load() {
 		return nil, false
 	}
-	s.begun.Store(true)
+	s.started.Store(true)
 	if answer.Length >= 0 {
 		s.w.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
@@ -39,25 +39,25 @@
 	return s, true
 }
 
-// Write passes a part of the body on.
+// Write writes a part of the body to the caller.
 func (s *answerSink) Write(part []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		return 0, failure.Ran(failure.OutcomeUnknown, failure.NotRunFalse, nil, "the caller no longer waits")
+		return 0, failure.Ran(failure.OutcomeUnknown, failure.NotRunFalse, nil, "the caller's request has ended")
 	}
 	return s.w.Write(part)
 }
 
-// closeUnlessBegun makes the response free for another answer, unless a part of
-// the large one is in it. It waits for no write.
-func (s *answerSink) closeUnlessBegun() bool {
-	if s.begun.Load() {
+// closeUnlessStarted closes the sink and reports true if no answer was started, so that
+// another answer can be written to the response. It does not wait for a pending write.
+func (s *answerSink) closeUnlessStarted() bool {
+	if s.started.Load() {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closed = !s.begun.Load()
+	s.closed = !s.started.Load()
 	return s.closed
 }
 
@@ -67,17 +67,16 @@
 	s.closed = true
 }
 
-// finish ends a streamed answer. Its status has been sent; breaking the
-// connection off, without the last chunk or short of the length, is what tells
-// the caller of an answer that is cut.
+// finish ends a streamed answer. Its status has been sent, so a truncated answer is
+// reported by aborting the connection before the last chunk or the declared length.
 func (s *answerSink) finish(answer *api.Answer, err error) {
-	whole := err == nil && answer.Cut == nil
-	if !whole {
-		// A caller that reads nothing would hold a write, and with it close.
+	complete := err == nil && answer.Cut == nil
+	if !complete {
+		// A caller that does not read would block a pending write, and close with it.
 		_ = http.NewResponseController(s.w).SetWriteDeadline(time.Now())
 	}
 	s.close()
-	if !whole {
+	if !complete {
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/internal/transport/httpapi/sink_test.go
+++ b/internal/transport/httpapi/sink_test.go
@@ -13,23 +13,23 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// A large answer is cut while it streams to the caller. Its status has been
-// sent, so only the broken connection can tell: the caller must see an error
-// and never a short answer that looks whole.
+// A large answer is truncated while it streams to the caller. Its status has been sent,
+// so only the aborted connection can report it: the caller must get an error and never a
+// short answer that appears complete.
 func TestCutStreamNeverLooksWhole(t *testing.T) {
-	cut := failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "cut")
+	truncated := failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "cut")
 	cases := []struct {
-		name   string
-		length int64
-		answer *api.Answer
-		err    error
-		whole  bool
+		name     string
+		length   int64
+		answer   *api.Answer
+		err      error
+		complete bool
 	}{
-		{"whole, length known", 3, &api.Answer{}, nil, true},
-		{"whole, in chunks", -1, &api.Answer{}, nil, true},
-		{"cut, length known", 9, &api.Answer{Cut: cut}, nil, false},
-		{"cut, in chunks", -1, &api.Answer{Cut: cut}, nil, false},
-		{"deadline while streaming", -1, nil, cut, false},
+		{"complete, length known", 3, &api.Answer{}, nil, true},
+		{"complete, in chunks", -1, &api.Answer{}, nil, true},
+		{"truncated, length known", 9, &api.Answer{Cut: truncated}, nil, false},
+		{"truncated, in chunks", -1, &api.Answer{Cut: truncated}, nil, false},
+		{"deadline while streaming", -1, nil, truncated, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				_, again := sink.Begin(&api.Answer{})
 				is.True(ok && !again)
 				_, _ = body.Write([]byte("ash"))
-				is.Equal(sink.closeUnlessBegun(), false)
+				is.Equal(sink.closeUnlessStarted(), false)
 				sink.finish(c.answer, c.err)
 				_, err := body.Write([]byte("late"))
 				is.True(err != nil)
@@ -48,13 +48,13 @@
 			defer server.Close()
 			response, err := http.Get(server.URL)
 			if err != nil {
-				is.Equal(c.whole, false)
+				is.Equal(c.complete, false)
 				return
 			}
 			defer response.Body.Close()
 			text, err := io.ReadAll(response.Body)
-			is.Equal(err == nil, c.whole)
-			is.True(!c.whole || string(text) == "ash")
+			is.Equal(err == nil, c.complete)
+			is.True(!c.complete || string(text) == "ash")
 		})
 	}
 }
--- a/internal/transport/httpapi/upstreams.go
+++ b/internal/transport/httpapi/upstreams.go
@@ -10,9 +10,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// leaseAnnouncements is how many announcements a lease outlasts, however far
-// their interval is stretched.
-const leaseAnnouncements = 3
+// announcementsPerLease is the least number of announcement intervals in a lease; it
+// limits how far the interval is stretched under load.
+const announcementsPerLease = 3
 
 func (s *Server) announceWorker(w http.ResponseWriter, r *http.Request) {
 	announcement, err := s.announce(r, peerpb.UpstreamKind_UPSTREAM_KIND_WORKER)
@@ -20,7 +20,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, s.tellWorker(announcement))
+	writeJSON(w, s.renewLeases(announcement))
 }
 
 func (s *Server) announceMinion(w http.ResponseWriter, r *http.Request) {
@@ -28,7 +28,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, s.tell(&api.AnnounceReply{TryOther: s.control.Fresh() != nil}))
+	writeJSON(w, s.setNextAnnouncement(&api.AnnounceReply{TryOther: s.control.Fresh() != nil}))
 }
 
 func (s *Server) announce(r *http.Request, kind peerpb.UpstreamKind) (*api.Announcement, error) {
@@ -39,22 +39,24 @@
 	if announcement.ID == "" || announcement.Address == "" {
 		return nil, failure.New(failure.BadRequest, "an announcement names id and address")
 	}
-	ttl := s.announceEvery() * api.AnnouncementsMissed
+	ttl := s.announceInterval() * api.AnnouncementsMissed
 	return announcement, s.registry.Merge(announcement.Upstream(kind, ttl))
 }
 
-// tellWorker renews leases as far as this instance's state is fresh enough.
-func (s *Server) tellWorker(announcement *api.Announcement) *api.AnnounceReply {
+// renewLeases returns the reply to a worker's announcement. Leases are renewed only if
+// this instance's state is fresh.
+func (s *Server) renewLeases(announcement *api.Announcement) *api.AnnounceReply {
 	fresh := s.control.Fresh() == nil
 	reply := renewal.Answer(s.control.State(), fresh, announcement.Tasks)
 	reply.LeaseMs = s.settings.Upstreams.Lease.Milliseconds()
-	return s.tell(reply)
+	return s.setNextAnnouncement(reply)
 }
 
-// tell adds when the upstream announces itself next. One that is to turn to another
-// instance does so before its leases end, however many announce here.
-func (s *Server) tell(reply *api.AnnounceReply) *api.AnnounceReply {
-	next := s.announceEvery()
+// setNextAnnouncement sets when the upstream announces itself next. One that is to try
+// another instance gets the configured interval, not the stretched one, so that it does
+// so before its leases expire.
+func (s *Server) setNextAnnouncement(reply *api.AnnounceReply) *api.AnnounceReply {
+	next := s.announceInterval()
 	if reply.TryOther {
 		next = s.settings.Upstreams.AnnounceEvery
 	}
@@ -62,11 +64,13 @@
 	return reply
 }
 
-// announceEvery is the interval that upstreams are told now.
-func (s *Server) announceEvery() time.Duration {
+// announceInterval returns the interval of announcements that upstreams are given now. It
+// is stretched when many announce here.
+func (s *Server) announceInterval() time.Duration {
 	upstreams := s.settings.Upstreams
-	return s.registry.AnnounceEvery(upstreams.AnnounceEvery, upstreams.Lease/leaseAnnouncements)
+	return s.registry.AnnounceEvery(upstreams.AnnounceEvery, upstreams.Lease/announcementsPerLease)
 }
 
-// announceGrace is added to windows that look for live instances.
+// announceGrace is added to the windows in which live workers and instances must have
+// announced themselves.
 const announceGrace = 2 * time.Second
--- a/internal/transport/httpapi/workflows.go
+++ b/internal/transport/httpapi/workflows.go
@@ -42,7 +42,7 @@
 }
 
 func (s *Server) cancelWorkflow(w http.ResponseWriter, r *http.Request, customer string) {
-	workflow, err := s.ownWorkflow(r, customer)
+	workflow, err := s.findWorkflow(r, customer)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -61,7 +61,7 @@
 }
 
 func (s *Server) getWorkflow(w http.ResponseWriter, r *http.Request, customer string) {
-	workflow, err := s.ownWorkflow(r, customer)
+	workflow, err := s.findWorkflow(r, customer)
 	if err != nil {
 		writeError(w, err)
 		return
@@ -69,10 +69,11 @@
 	writeJSON(w, s.describeWorkflow(workflow))
 }
 
-// ownWorkflow finds a workflow of the customer; another's is as unknown as none.
-func (s *Server) ownWorkflow(r *http.Request, customer string) (*controlpb.Workflow, error) {
+// findWorkflow returns the workflow if it belongs to the customer; a workflow of another
+// customer is reported as not found.
+func (s *Server) findWorkflow(r *http.Request, customer string) (*controlpb.Workflow, error) {
 	workflow, ok := s.control.State().Workflow(mux.Vars(r)["id"])
-	if !ok || (customer != everyCustomer && workflow.Customer != customer) {
+	if !ok || (customer != allCustomers && workflow.Customer != customer) {
 		return nil, failure.New(failure.NotFound, "no such workflow")
 	}
 	return workflow, nil
