--- a/internal/transport/upstream/client.go
+++ b/internal/transport/upstream/client.go
@@ -1,4 +1,4 @@
-// Package upstream speaks HTTP to workers and minions.
+// Package upstream is the HTTP client for workers and minions.
 package upstream
 
 import (
@@ -19,14 +19,15 @@
 )
 
 const (
-	dialTimeout = time.Second
-	maxAnswer   = 1 << 20
-	// idlePerUp bounds idle connections so that those of 9 instances, and one for
-	// each of a minion's 8 slots in use, stay within the 60 that a minion takes.
-	idlePerUp = 5
-	// idleLife is short: a connection whose far end vanished without a word is
-	// found out only by a request whose outcome is then unknown.
-	idleLife       = 5 * time.Second
+	dialTimeout    = time.Second
+	maxAnswerBytes = 1 << 20
+	// maxIdlePerHost is chosen so that the idle connections of 9 instances, and one
+	// connection for each of a minion's 8 slots in use, stay within the 60 connections
+	// that a minion accepts.
+	maxIdlePerHost = 5
+	// idleTimeout is short, because a connection whose peer vanished without closing it
+	// is detected only by a request, whose outcome is then unknown.
+	idleTimeout    = 5 * time.Second
 	commandTimeout = 5 * time.Second
 )
 
@@ -37,30 +38,32 @@
 	http *http.Client
 }
 
-// NewClient makes a client; it follows no redirect, for an upstream has none.
+// NewClient creates a client whose connections stay within the share. It does not follow
+// redirects, which upstreams do not send. The logger may be nil.
 func NewClient(share connections.Share, logger *logrus.Logger) *Client {
-	bounds := Connections{DialTimeout: dialTimeout, Idle: idlePerUp, IdleLife: idleLife, MostIdle: share.Idle}
-	return &Client{http: NewHTTP(traffic, connections.NewGroup("upstream", share.Dialled, logger), bounds)}
+	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: share.Idle}
+	return &Client{http: NewHTTP(traffic, connections.NewGroup("upstream", share.Dialled, logger), limits)}
 }
 
-// Connections bounds those to upstreams.
+// Connections limits the connections to upstreams.
 type Connections struct {
 	DialTimeout time.Duration
-	// Idle is how many are kept to one upstream, and IdleLife for how long.
+	// Idle is the maximum number of idle connections per upstream, and IdleLife the time
+	// after which an idle connection is closed.
 	Idle     int
 	IdleLife time.Duration
-	// MostIdle is how many are kept to all of them.
+	// MostIdle is the maximum number of idle connections to all upstreams.
 	MostIdle int
 }
 
-// NewHTTP makes an HTTP client for upstreams, which send no redirects. Its connections
-// stay within the group's bound.
-func NewHTTP(counters counted.Counters, group *connections.Group, bounds Connections) *http.Client {
-	dialer := &net.Dialer{Timeout: bounds.DialTimeout}
+// NewHTTP creates an HTTP client for upstreams. It does not follow redirects, and its
+// connections stay within the limit of the group.
+func NewHTTP(counters counted.Counters, group *connections.Group, limits Connections) *http.Client {
+	dialer := &net.Dialer{Timeout: limits.DialTimeout}
 	transport := &http.Transport{
-		MaxIdleConns:        bounds.MostIdle,
-		MaxIdleConnsPerHost: bounds.Idle,
-		IdleConnTimeout:     bounds.IdleLife,
+		MaxIdleConns:        limits.MostIdle,
+		MaxIdleConnsPerHost: limits.Idle,
+		IdleConnTimeout:     limits.IdleLife,
 		DisableCompression:  true,
 	}
 	transport.DialContext = group.Dialer(counters.Dialer(dialer.DialContext), transport.CloseIdleConnections)
@@ -70,7 +73,8 @@
 	}
 }
 
-// Command sends one command to a worker.
+// Command sends a command to a worker and returns its answer. The errors are failures
+// that say whether the command may have run.
 func (c *Client) Command(ctx context.Context, address, path string, command *api.TaskCommand) (*api.TaskAnswer, error) {
 	body, err := json.Marshal(command)
 	if err != nil {
@@ -88,7 +92,7 @@
 		return nil, sendFailure(err, address)
 	}
 	defer response.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunUnknown, err, "answer of %s", address)
 	}
@@ -102,8 +106,8 @@
 	return answer, nil
 }
 
-// sendFailure tells a connection that was never opened, which surely ran
-// nothing, from everything later.
+// sendFailure returns a failure that says that the command did not run if the connection
+// was never opened, and one with an unknown outcome for any later error.
 func sendFailure(err error, address string) *failure.Error {
 	if unsent := NotSent(err, address); unsent != nil {
 		return unsent
@@ -114,7 +118,7 @@
 func answerFailure(response *http.Response, text []byte, address string) *failure.Error {
 	body := api.ErrorBody{}
 	if json.Unmarshal(text, &body) == nil && body.Code != "" {
-		return failure.Ran(body.Code, body.NotRun, nil, "%s says: %s", address, body.Message)
+		return failure.Ran(body.Code, body.NotRun, nil, "%s returned an error: %s", address, body.Message)
 	}
 	return failure.Ran(failure.UpstreamFailed, failure.NotRunFalse, nil, "%s answers %s", address, response.Status)
 }
--- a/internal/transport/upstream/notsent_test.go
+++ b/internal/transport/upstream/notsent_test.go
@@ -13,8 +13,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// An order whose outcome was called unknown, though its connection was never opened.
-func TestWhatWasSurelyNotSent(t *testing.T) {
+// A command whose connection was never opened must be reported as not run, and not as one
+// with an unknown outcome.
+func TestNotSent(t *testing.T) {
 	dial := func(call string, errno syscall.Errno) error {
 		op := &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 		return &url.Error{Op: "Post", URL: "http://w/", Err: op}
@@ -23,12 +24,12 @@
 		err  error
 		want failure.Code
 	}{
-		"no descriptor left":      {dial("socket", syscall.EMFILE), failure.OutOfDescriptors},
-		"none left on the host":   {dial("socket", syscall.ENFILE), failure.OutOfDescriptors},
-		"refused":                 {dial("connect", syscall.ECONNREFUSED), failure.Unreachable},
-		"reset after it was sent": {&net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}, ""},
-		"another failure":         {fmt.Errorf("timeout"), ""},
-		"none":                    {nil, ""},
+		"no descriptor left":        {dial("socket", syscall.EMFILE), failure.OutOfDescriptors},
+		"no descriptor on the host": {dial("socket", syscall.ENFILE), failure.OutOfDescriptors},
+		"refused":                   {dial("connect", syscall.ECONNREFUSED), failure.Unreachable},
+		"reset after it was sent":   {&net.OpError{Op: "read", Net: "tcp", Err: syscall.ECONNRESET}, ""},
+		"another failure":           {fmt.Errorf("timeout"), ""},
+		"none":                      {nil, ""},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/transport/upstream/serve.go
+++ b/internal/transport/upstream/serve.go
@@ -17,19 +17,19 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Serve sends one request to a minion and reads its whole answer, or streams a
-// large one to the call's sink. A failure says "not run" only where no byte can
-// have reached the minion, or where the minion says so.
+// Serve sends a request to a minion and reads its complete answer, or streams a large one
+// to the call's sink. A failure says that the request did not run only if no byte can
+// have reached the minion, or if the minion says so.
 //
-// The method is POST and no Idempotency-Key goes along: Go's transport would
-// take that header as leave to send the request again on its own. What is left
-// to it is a reused connection on which nothing could be written.
+// The method is POST without an Idempotency-Key header, because that header allows Go's
+// transport to resend the request by itself. It then resends only if nothing could be
+// written on a reused connection.
 func (c *Client) Serve(ctx context.Context, address string, call *api.ServeCall) (*api.Answer, error) {
 	x := newExchange(ctx, call, address)
 	defer x.end()
 	answer, err := x.run(c.http)
 	if err != nil && failure.From(err).NotRun == failure.NotRunTrue {
-		x.tell(false)
+		x.setDispatched(false)
 	}
 	return answer, err
 }
@@ -38,35 +38,36 @@
 type exchange struct {
 	call    *api.ServeCall
 	address string
-	// caller is the caller's wait; ctx is that of the exchange, which goes on
-	// for call.Late after it once the request has been dispatched.
+	// caller is the caller's context; ctx is that of the exchange, which outlives the
+	// caller's by call.Late if the request has been dispatched.
 	caller     context.Context
 	ctx        context.Context
 	cancel     context.CancelFunc
 	dispatched atomic.Bool
-	unhook     func() bool
+	stopWatch  func() bool
 	timer      atomic.Pointer[time.Timer]
 }
 
 func newExchange(caller context.Context, call *api.ServeCall, address string) *exchange {
 	x := &exchange{call: call, address: address, caller: caller}
 	x.ctx, x.cancel = context.WithCancel(context.WithoutCancel(caller))
-	x.unhook = context.AfterFunc(caller, x.callerGone)
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.tell(true) }}
+	x.stopWatch = context.AfterFunc(caller, x.onCallerDone)
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { x.setDispatched(true) }}
 	x.ctx = httptrace.WithClientTrace(x.ctx, trace)
 	return x
 }
 
 func (x *exchange) end() {
-	x.unhook()
+	x.stopWatch()
 	if timer := x.timer.Load(); timer != nil {
 		timer.Stop()
 	}
 	x.cancel()
 }
 
-// callerGone ends the exchange: at once, or once a late answer is too late.
-func (x *exchange) callerGone() {
+// onCallerDone cancels the exchange: at once if the request has not been dispatched, else
+// after the time that a late answer is allowed.
+func (x *exchange) onCallerDone() {
 	if !x.dispatched.Load() {
 		x.cancel()
 		return
@@ -74,10 +75,10 @@
 	x.timer.Store(time.AfterFunc(x.call.Late, x.cancel))
 }
 
-func (x *exchange) tell(at bool) {
-	x.dispatched.Store(at)
+func (x *exchange) setDispatched(dispatched bool) {
+	x.dispatched.Store(dispatched)
 	if x.call.Dispatched != nil {
-		x.call.Dispatched(at)
+		x.call.Dispatched(dispatched)
 	}
 }
 
@@ -110,26 +111,25 @@
 	return request, nil
 }
 
-// sendFailure tells a request that surely did not run from everything later.
-// It did not where no connection was had, nor where a dial failed: a dial after
-// a connection means that on the first, left over from an earlier request,
-// nothing could be written.
+// sendFailure distinguishes requests that certainly did not run from all others. A request
+// did not run if it got no connection or if a dial failed: a dial after the first
+// connection means that nothing could be written on that one, which was reused from an
+// earlier request.
 func (x *exchange) sendFailure(err error) *failure.Error {
-	over := x.ctx.Err() != nil
+	expired := x.ctx.Err() != nil
 	switch {
-	case x.dispatched.Load() && !dialFailed(err) && over:
+	case x.dispatched.Load() && !dialFailed(err) && expired:
 		return failure.Ran(failure.DeadlinePassed, failure.NotRunUnknown, err, "send to %s", x.address)
 	case x.dispatched.Load() && !dialFailed(err):
 		return failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, err, "send to %s", x.address)
-	case over:
+	case expired:
 		return failure.Wrap(failure.DeadlinePassed, err, "no connection to %s", x.address)
 	}
 	return failure.Wrap(failure.Unreachable, err, "no connection to %s", x.address)
 }
 
-// answer checks that the answer belongs to this request before a byte of it is
-// passed on. A minion that mixes up its connections would otherwise give one
-// caller's answer to another.
+// answer checks that the answer belongs to this request before any of it is passed on. If
+// a minion mixed up its connections, one caller would otherwise get another's answer.
 func (x *exchange) answer(response *http.Response) (*api.Answer, error) {
 	if response.StatusCode == http.StatusServiceUnavailable && response.Header.Get(api.HeaderNotRun) == string(failure.NotRunTrue) {
 		return nil, failure.New(failure.Overloaded, "%s has no free slot", x.address)
@@ -143,12 +143,12 @@
 	}
 	answer := &api.Answer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Length: length}
 	if length <= x.call.Hold {
-		held := bytes.Buffer{}
-		held.Grow(int(max(length, 0)) + bytes.MinRead)
-		if _, err := held.ReadFrom(io.LimitReader(response.Body, x.call.Hold+1)); err != nil {
+		buffer := bytes.Buffer{}
+		buffer.Grow(int(max(length, 0)) + bytes.MinRead)
+		if _, err := buffer.ReadFrom(io.LimitReader(response.Body, x.call.Hold+1)); err != nil {
 			return nil, x.readFailure(err)
 		}
-		answer.Body = held.Bytes()
+		answer.Body = buffer.Bytes()
 	}
 	if length <= x.call.Hold && int64(len(answer.Body)) <= x.call.Hold {
 		return answer, x.checkLength(length, int64(len(answer.Body)))
@@ -156,28 +156,28 @@
 	return x.stream(answer, response.Body)
 }
 
-// declaredLength is the length that the answer must have, or -1 where chunks
-// mark its end. One that ends where its connection does could be cut anywhere
-// and still look whole, so it is refused.
+// declaredLength returns the length in bytes that the body must have, or -1 if it uses
+// chunked encoding. An answer that ends when its connection closes is rejected, because
+// truncation could not be detected.
 func declaredLength(response *http.Response) (int64, error) {
 	length := response.ContentLength
 	if text := response.Header.Get(api.HeaderBodyLength); text != "" {
 		declared, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || declared < 0 || (length >= 0 && length != declared) {
-			return 0, failure.New(failure.TruncatedAnswer, "lengths differ: %q and %d", text, length)
+			return 0, failure.New(failure.TruncatedAnswer, "body length %q is invalid or does not match Content-Length %d", text, length)
 		}
 		return declared, nil
 	}
 	chunked := len(response.TransferEncoding) > 0 && response.TransferEncoding[0] == "chunked"
 	if length < 0 && !chunked {
-		return 0, failure.New(failure.TruncatedAnswer, "neither a length nor chunks mark the end")
+		return 0, failure.New(failure.TruncatedAnswer, "answer has neither a length nor chunked encoding")
 	}
 	return length, nil
 }
 
 func (x *exchange) checkLength(declared, got int64) error {
 	if declared >= 0 && declared != got {
-		return failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "%d bytes of %d from %s", got, declared, x.address)
+		return failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "got %d of %d bytes from %s", got, declared, x.address)
 	}
 	return nil
 }
@@ -189,17 +189,16 @@
 	return failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, err, "answer of %s", x.address)
 }
 
-// stream passes on what was held and then the rest while it arrives. From the
-// first byte on the caller has a part of the answer, so a cut is reported in
-// the answer, for the caller's connection to be broken off, and not as an
-// error that another try might mend.
+// stream passes on the buffered part of the body and then the rest while it arrives. Once
+// the caller has a part of the answer, truncation is reported in the answer, so that the
+// caller's connection is aborted, and not as an error, which could be retried.
 func (x *exchange) stream(answer *api.Answer, rest io.Reader) (*api.Answer, error) {
 	if x.call.Sink == nil {
 		return nil, failure.Ran(failure.TooLarge, failure.NotRunFalse, nil, "answer of %s is over %d bytes", x.address, x.call.Hold)
 	}
 	body, ok := x.call.Sink.Begin(answer)
 	if !ok {
-		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunFalse, nil, "the caller no longer waits for %s", x.address)
+		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunFalse, nil, "the caller's request has ended; answer of %s discarded", x.address)
 	}
 	answer.Streamed = true
 	written, err := io.Copy(body, io.MultiReader(bytes.NewReader(answer.Body), rest))
@@ -213,8 +212,9 @@
 	return answer, nil
 }
 
-// NotSent gives the failure of an exchange whose connection was never opened, so that
-// nothing of it has left; nil for any other.
+// NotSent returns the failure of an exchange whose connection was never opened, so that
+// nothing was sent, or nil for any other error. Its code is OutOfDescriptors if the dial
+// failed for lack of file descriptors, else Unreachable.
 func NotSent(err error, address string) *failure.Error {
 	if !dialFailed(err) {
 		return nil
@@ -226,7 +226,7 @@
 	return failure.Wrap(code, err, "dial %s", address)
 }
 
-// dialFailed tells a connection that was never opened.
+// dialFailed reports whether the error is that of a failed dial.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
