--- a/internal/transport/connections/connections_test.go
+++ b/internal/transport/connections/connections_test.go
@@ -13,42 +13,42 @@
 	"github.com/sirupsen/logrus/hooks/test"
 )
 
-// Sockets that take the descriptors which files and other instances need.
+// Connections must not use up the descriptors that files and other instances need.
 func TestShareLeavesRoomForFiles(t *testing.T) {
 	for _, limit := range []int{64, 256, 1024, 4096, 4100, 1 << 20} {
-		for _, dials := range []bool{false, true} {
+		for _, dialsUpstreams := range []bool{false, true} {
 			is := is.New(t)
-			s := ShareOf(limit, dials)
-			is.True(s.Dialled+s.Accepted <= limit-min(reserved, limit/4))
+			s := ShareOf(limit, dialsUpstreams)
+			is.True(s.Dialled+s.Accepted <= limit-min(reservedDescriptors, limit/4))
 			is.True(s.Accepted > 0)
-			is.Equal(s.Dialled > 0, dials)
+			is.Equal(s.Dialled > 0, dialsUpstreams)
 			is.True(s.Idle <= s.Dialled)
 		}
 	}
 }
 
-// A leader of the size that is designed for: a look at each of 1,900 workers beside 256
-// orders must find a descriptor.
+// A leader with the designed 1,900 workers must have a descriptor for a poll of each beside
+// 256 commands.
 func TestShareHoldsALookAtEveryWorker(t *testing.T) {
-	const workers, orders = 1900, 256
-	is.New(t).True(ShareOf(4096, true).Dialled >= workers+orders)
+	const workers, commands = 1900, 256
+	is.New(t).True(ShareOf(4096, true).Dialled >= workers+commands)
 }
 
-// pipes dials connections in memory.
-func pipes(context.Context, string, string) (net.Conn, error) {
-	near, far := net.Pipe()
-	go func() { _, _ = io.Copy(io.Discard, far) }()
-	return near, nil
+// dialPipe dials an in-memory connection whose remote end discards all data.
+func dialPipe(context.Context, string, string) (net.Conn, error) {
+	local, remote := net.Pipe()
+	go func() { _, _ = io.Copy(io.Discard, remote) }()
+	return local, nil
 }
 
-// A process whose connections to workers grow without a bound, until none is left for
-// a file.
-func TestDialsStayWithinTheirBound(t *testing.T) {
+// Unlimited connections to workers would leave no descriptor for files. A dial at the limit
+// closes idle connections; if none is idle, it fails with EMFILE.
+func TestDialsStayWithinLimit(t *testing.T) {
 	is := is.New(t)
 	logger, lines := test.NewNullLogger()
 	g := NewGroup("dialled_test", 10, logger)
 	var idle []net.Conn
-	dial := g.Dialer(pipes, func() {
+	dial := g.Dialer(dialPipe, func() {
 		for _, conn := range idle {
 			conn.Close()
 		}
@@ -61,7 +61,7 @@
 	}
 	is.Equal(lines.LastEntry().Message, "connections near their bound")
 	used, err := dial(t.Context(), "tcp", "w")
-	is.NoErr(err) // the idle ones made room
+	is.NoErr(err) // the idle connections were closed
 	is.Equal(g.open.Value(), int64(1))
 	is.Equal(lines.LastEntry().Message, "connections away from their bound")
 	for range 9 {
@@ -73,11 +73,11 @@
 	is.Equal(g.peak.Value(), int64(10))
 	used.Close()
 	used.Close()
-	is.Equal(g.open.Value(), int64(9)) // a connection gives its place back once
+	is.Equal(g.open.Value(), int64(9)) // a second Close releases nothing
 }
 
-// A dial that fails must not use up a place for good.
-func TestFailedDialGivesItsPlaceBack(t *testing.T) {
+// A dial that fails must release its slot.
+func TestFailedDialReleasesSlot(t *testing.T) {
 	is := is.New(t)
 	g := NewGroup("failed_test", 1, nil)
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, syscall.ECONNREFUSED }
@@ -88,10 +88,10 @@
 	is.Equal(g.open.Value(), int64(0))
 }
 
-// offered is a listener of connections in memory.
-type offered struct{ conns chan net.Conn }
+// chanListener accepts connections from a channel.
+type chanListener struct{ conns chan net.Conn }
 
-func (l offered) Accept() (net.Conn, error) {
+func (l chanListener) Accept() (net.Conn, error) {
 	conn, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
@@ -99,21 +99,21 @@
 	return conn, nil
 }
 
-func (l offered) Close() error   { return nil }
-func (l offered) Addr() net.Addr { return &net.TCPAddr{} }
+func (l chanListener) Close() error   { return nil }
+func (l chanListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Callers that keep their connections open, until the instance has no descriptor left:
-// those beyond the bound are turned away at once.
+// Callers that keep connections open could exhaust the instance's descriptors. Connections
+// beyond the limit must be closed at once.
 func TestCallersBeyondTheBoundAreTurnedAway(t *testing.T) {
 	is := is.New(t)
 	g := NewGroup("accepted_test", 2, logrus.New())
-	l := offered{make(chan net.Conn, 4)}
+	l := chanListener{make(chan net.Conn, 4)}
 	listener := g.Listener(l)
 	var callers []net.Conn
 	for range 4 {
-		caller, here := net.Pipe()
+		caller, accepted := net.Pipe()
 		callers = append(callers, caller)
-		l.conns <- here
+		l.conns <- accepted
 	}
 	close(l.conns)
 	first, err := listener.Accept()
@@ -121,7 +121,7 @@
 	_, err = listener.Accept()
 	is.NoErr(err)
 	_, err = listener.Accept()
-	is.True(errors.Is(err, net.ErrClosed)) // the third and fourth were not handed on
+	is.True(errors.Is(err, net.ErrClosed)) // the third and fourth were closed
 	_, err = callers[2].Read(make([]byte, 1))
 	is.True(errors.Is(err, io.EOF))
 	first.Close()
--- a/internal/transport/connections/group.go
+++ b/internal/transport/connections/group.go
@@ -14,88 +14,92 @@
 	"pinewinch.example/pinewinch/internal/transport/counted"
 )
 
-// nearParts and farParts, in tenths of the bound, are when a group is said to be near
-// it, and no more.
+// A group logs a warning when its open connections reach warnTenths tenths of the limit,
+// and again when they fall below clearTenths tenths.
 const (
-	nearParts = 9
-	farParts  = 8
-	allParts  = 10
+	warnTenths  = 9
+	clearTenths = 8
+	tenths      = 10
 )
 
-// placeWait is how long a dial at the bound waits for a connection that is between two
-// orders, and for a moment neither idle nor in use.
-const placeWait = 100 * time.Millisecond
+// dialWait is how long a dial at the limit waits for a connection to close. Between two
+// commands a connection is briefly neither idle nor in use, so closing the idle ones may
+// not free one at once.
+const dialWait = 100 * time.Millisecond
 
-// Group is connections that share one bound.
+// Group is a set of connections with a common limit.
 type Group struct {
 	name   string
-	most   int64
+	limit  int64
 	logger *logrus.Logger
-	// refused counts what was turned away at the bound.
+	// refused counts the dials and accepts refused at the limit.
 	refused, open, peak *expvar.Int
-	// freed is ready when a place was given back that nobody has taken since.
-	freed chan struct{}
-	mu    sync.Mutex
-	near  bool
+	// freed is signalled when a connection has closed, to wake a waiting dial.
+	freed     chan struct{}
+	mu        sync.Mutex
+	nearLimit bool
 }
 
-// NewGroup publishes <name>_connections_open, _peak, _bound and _refused. Logger gets a
-// line when nine tenths of the bound are used, and when fewer are again; nil for none.
-func NewGroup(name string, most int, logger *logrus.Logger) *Group {
+// NewGroup creates a group limited to limit connections and publishes the metrics
+// <name>_connections_open, _peak, _bound and _refused. It logs a warning when nine tenths
+// of the limit are reached, and when the number falls below eight tenths; logger may be
+// nil.
+func NewGroup(name string, limit int, logger *logrus.Logger) *Group {
 	g := &Group{
-		name: name, most: int64(most), logger: logger,
-		refused: variable(name + "_connections_refused"),
-		open:    variable(name + "_connections_open"),
-		peak:    variable(name + "_connections_peak"),
+		name: name, limit: int64(limit), logger: logger,
+		refused: publishedInt(name + "_connections_refused"),
+		open:    publishedInt(name + "_connections_open"),
+		peak:    publishedInt(name + "_connections_peak"),
 		freed:   make(chan struct{}, 1),
 	}
-	variable(name + "_connections_bound").Set(int64(most))
+	publishedInt(name + "_connections_bound").Set(int64(limit))
 	return g
 }
 
-// variable gives the published counter of that name, and publishes it where there is
-// none: tests make more than one group of a name.
-func variable(name string) *expvar.Int {
+// publishedInt returns the published variable of that name, and publishes it if there is
+// none: tests create several groups of the same name.
+func publishedInt(name string) *expvar.Int {
 	if known, ok := expvar.Get(name).(*expvar.Int); ok {
 		return known
 	}
 	return expvar.NewInt(name)
 }
 
-// take counts one more connection, unless the bound is reached.
-func (g *Group) take() bool {
+// acquire counts one more connection and returns true, or false at the limit.
+func (g *Group) acquire() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.open.Value() >= g.most {
+	if g.open.Value() >= g.limit {
 		return false
 	}
 	g.open.Add(1)
 	g.peak.Set(max(g.peak.Value(), g.open.Value()))
-	g.tell()
+	g.logThreshold()
 	return true
 }
 
-func (g *Group) giveBack() {
+func (g *Group) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open.Add(-1)
-	g.tell()
-	g.wake()
+	g.logThreshold()
+	g.signalFreed()
 }
 
-// wake lets one that waits for a place look again.
-func (g *Group) wake() {
+// signalFreed wakes one waiting dial.
+func (g *Group) signalFreed() {
 	select {
 	case g.freed <- struct{}{}:
 	default:
 	}
 }
 
-// await takes a place once one is given back, within placeWait.
-func (g *Group) await(ctx context.Context) bool {
-	timer := time.NewTimer(placeWait)
+// acquireWait waits until it can acquire, and returns false after dialWait or when ctx is
+// done.
+func (g *Group) acquireWait(ctx context.Context) bool {
+	timer := time.NewTimer(dialWait)
 	defer timer.Stop()
-	for !g.take() {
+	for !g.acquire() {
 		select {
 		case <-g.freed:
 		case <-timer.C:
@@ -104,83 +108,84 @@
 			return false
 		}
 	}
-	// More than one place may have come free with one wake.
-	g.wake()
+	// One signal may stand for several closed connections.
+	g.signalFreed()
 	return true
 }
 
-// tell writes a line where the group came near its bound or is away from it again.
-func (g *Group) tell() {
+// logThreshold logs when the number of open connections crosses warnTenths or clearTenths.
+func (g *Group) logThreshold() {
 	open := g.open.Value()
 	switch {
-	case !g.near && open*allParts >= g.most*nearParts:
-		g.near = true
+	case !g.nearLimit && open*tenths >= g.limit*warnTenths:
+		g.nearLimit = true
 		g.log(open, "connections near their bound")
-	case g.near && open*allParts < g.most*farParts:
-		g.near = false
+	case g.nearLimit && open*tenths < g.limit*clearTenths:
+		g.nearLimit = false
 		g.log(open, "connections away from their bound")
 	}
 }
 
 func (g *Group) log(open int64, message string) {
 	if g.logger != nil {
-		g.logger.WithFields(logrus.Fields{"group": g.name, "open": open, "bound": g.most}).Warn(message)
+		g.logger.WithFields(logrus.Fields{"group": g.name, "open": open, "bound": g.limit}).Warn(message)
 	}
 }
 
-// Listener accepts connections up to the bound and closes those beyond it at once: their
-// callers turn to another instance, instead of waiting for a place here.
-func (g *Group) Listener(listener net.Listener) net.Listener { return boundedListener{listener, g} }
+// Listener accepts connections up to the limit and closes those beyond it at once, so that
+// their callers try another instance instead of waiting here.
+func (g *Group) Listener(listener net.Listener) net.Listener { return limitedListener{listener, g} }
 
-type boundedListener struct {
+type limitedListener struct {
 	net.Listener
 	group *Group
 }
 
-func (l boundedListener) Accept() (net.Conn, error) {
+func (l limitedListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.group.take() {
-			return &boundedConn{Conn: conn, group: l.group}, nil
+		if l.group.acquire() {
+			return &limitedConn{Conn: conn, group: l.group}, nil
 		}
 		l.group.refused.Add(1)
 		conn.Close()
 	}
 }
 
-// Dialer dials up to the bound. At the bound makeRoom is called once, to close
-// connections that nobody uses; a dial that finds no place even so, or a moment later,
-// fails as one that the kernel refuses for want of a descriptor.
-func (g *Group) Dialer(dial counted.DialContext, makeRoom func()) counted.DialContext {
+// Dialer limits the connections that dial opens. At the limit it calls closeIdle once,
+// which should close idle connections, and waits up to dialWait for a free slot. If there
+// is none, the dial fails with EMFILE, like one that the kernel refuses for lack of file
+// descriptors.
+func (g *Group) Dialer(dial counted.DialContext, closeIdle func()) counted.DialContext {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
-		if !g.take() {
-			makeRoom()
-			if !g.await(ctx) {
+		if !g.acquire() {
+			closeIdle()
+			if !g.acquireWait(ctx) {
 				g.refused.Add(1)
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("socket", syscall.EMFILE)}
 			}
 		}
 		conn, err := dial(ctx, network, address)
 		if err != nil {
-			g.giveBack()
+			g.release()
 			return nil, err
 		}
-		return &boundedConn{Conn: conn, group: g}, nil
+		return &limitedConn{Conn: conn, group: g}, nil
 	}
 }
 
-// boundedConn gives its place back when it is closed.
-type boundedConn struct {
+// limitedConn releases its slot in the group on the first Close.
+type limitedConn struct {
 	net.Conn
 	group  *Group
 	closed sync.Once
 }
 
-func (c *boundedConn) Close() error {
+func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.closed.Do(c.group.giveBack)
+	c.closed.Do(c.group.release)
 	return err
 }
