--- a/internal/transport/counted/counted.go
+++ b/internal/transport/counted/counted.go
@@ -1,5 +1,5 @@
-// Package counted counts the bytes of connections, so that what control costs
-// on the network is read from a running process and not guessed.
+// Package counted counts the bytes sent and received on connections, so that the network
+// traffic of the control plane can be measured in a running process.
 package counted
 
 import (
@@ -8,13 +8,13 @@
 	"net"
 )
 
-// Counters count the bytes of a group of connections.
+// Counters counts the bytes of a group of connections.
 type Counters struct {
 	Sent     *expvar.Int
 	Received *expvar.Int
 }
 
-// NewCounters publishes <group>_bytes_sent and <group>_bytes_received.
+// NewCounters publishes the metrics <group>_bytes_sent and <group>_bytes_received.
 func NewCounters(group string) Counters {
 	return Counters{
 		Sent:     expvar.NewInt(group + "_bytes_sent"),
@@ -22,18 +22,18 @@
 	}
 }
 
-// Conn counts what passes through the connection.
+// Conn returns the connection with its bytes counted.
 func (c Counters) Conn(conn net.Conn) net.Conn { return countedConn{conn, c} }
 
-// Listener counts what passes through every accepted connection.
+// Listener returns a listener whose accepted connections are counted.
 func (c Counters) Listener(listener net.Listener) net.Listener {
 	return countedListener{listener, c}
 }
 
-// DialContext is the type of a dialler's method.
+// DialContext is the type of the method net.Dialer.DialContext.
 type DialContext func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dialer counts what passes through every dialled connection.
+// Dialer returns a dial function whose connections are counted.
 func (c Counters) Dialer(dial DialContext) DialContext {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
