--- a/internal/transport/logsink/limit.go
+++ b/internal/transport/logsink/limit.go
@@ -8,20 +8,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TimeFormat of log lines: milliseconds, so that the lines of several processes can
-// be put in order.
+// TimeFormat is the time format of log lines. It has milliseconds, so that the lines of
+// several processes can be ordered.
 const TimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// DefaultPerSecond is how many lines of one kind are written in a second. The
-// busiest kind, one line for each start of a task, stays below it up to 200 starts a
-// second; 48 workers see 40 in the mean and 120 at the most.
+// DefaultPerSecond is the default limit of lines per message and second. The most frequent
+// message, one line per task start, reaches it at 200 starts per second; 48 workers
+// produce 40 on average and 120 at most.
 const DefaultPerSecond = 200
 
 var linesSuppressed = expvar.NewInt("log_lines_suppressed")
 
-// Limit is a formatter that bounds the lines of each kind, by the second. A kind is
-// a message: these are fixed texts. What is left out is counted, and told by one line
-// of the kind "suppressed" with the first line of a later second.
+// Limit is a formatter that limits the lines of each message per second; messages are
+// fixed texts. Lines beyond the limit are suppressed and counted. Before the first line of
+// a later second it writes one line "suppressed" per affected message with the count.
 type Limit struct {
 	Formatter logrus.Formatter
 	PerSecond int
@@ -32,18 +32,19 @@
 	counts map[string]int
 }
 
-// Format gives nothing for a line that is left out.
+// Format formats an entry, and returns nothing for a suppressed one, except for reports of
+// lines suppressed before.
 func (l *Limit) Format(entry *logrus.Entry) ([]byte, error) {
-	told, passes := l.count(entry.Message)
+	suppressed, allowed := l.count(entry.Message)
 	var out []byte
-	for kind, left := range told {
-		line, err := l.Formatter.Format(l.suppressed(entry.Logger, kind, left))
+	for message, count := range suppressed {
+		line, err := l.Formatter.Format(l.suppressedEntry(entry.Logger, message, count))
 		if err != nil {
 			return nil, err
 		}
 		out = append(out, line...)
 	}
-	if !passes {
+	if !allowed {
 		linesSuppressed.Add(1)
 		return out, nil
 	}
@@ -51,31 +52,32 @@
 	return append(out, line...), err
 }
 
-// count notes a line of a kind and tells whether it passes, and what was left out in
-// the second before where this is the first line of a new one.
-func (l *Limit) count(kind string) (told map[string]int, passes bool) {
+// count counts a line and reports whether it is within the limit. With the first line of a
+// new second it also returns the number of suppressed lines by message since the last
+// report.
+func (l *Limit) count(message string) (suppressed map[string]int, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := l.Now().Unix(); second != l.second || l.counts == nil {
-		told = l.over()
+		suppressed = l.overLimit()
 		l.second, l.counts = second, map[string]int{}
 	}
-	l.counts[kind]++
-	return told, l.counts[kind] <= l.PerSecond
+	l.counts[message]++
+	return suppressed, l.counts[message] <= l.PerSecond
 }
 
-func (l *Limit) over() map[string]int {
-	told := map[string]int{}
-	for kind, count := range l.counts {
+func (l *Limit) overLimit() map[string]int {
+	suppressed := map[string]int{}
+	for message, count := range l.counts {
 		if count > l.PerSecond {
-			told[kind] = count - l.PerSecond
+			suppressed[message] = count - l.PerSecond
 		}
 	}
-	return told
+	return suppressed
 }
 
-func (l *Limit) suppressed(logger *logrus.Logger, kind string, count int) *logrus.Entry {
-	entry := logrus.NewEntry(logger).WithFields(logrus.Fields{"kind": kind, "lines": count})
+func (l *Limit) suppressedEntry(logger *logrus.Logger, message string, count int) *logrus.Entry {
+	entry := logrus.NewEntry(logger).WithFields(logrus.Fields{"kind": message, "lines": count})
 	entry.Level, entry.Time, entry.Message = logrus.WarnLevel, l.Now(), "suppressed"
 	return entry
 }
--- a/internal/transport/logsink/logsink_test.go
+++ b/internal/transport/logsink/logsink_test.go
@@ -16,64 +16,64 @@
 	"pinewinch.example/pinewinch/internal/transport/logsink"
 )
 
-// stuck is a reader that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter blocks writes until release is closed.
+type blockedWriter struct {
 	bytes.Buffer
 	release chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return s.Buffer.Write(p)
 }
 
-// The reader of the log stands still while decisions are made. None of them may
-// wait for it; what there is no room for is dropped, and the log says how much.
-func TestStuckReaderHoldsNobodyUp(t *testing.T) {
+// The reader of the log is blocked. Code that logs must not wait for it; lines that do not
+// fit into the queue are dropped, and the log reports how many.
+func TestBlockedReaderDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const room, lines = 10, 100
-		out := &stuck{release: make(chan struct{})}
-		sink := logsink.New(out, room)
-		begun := time.Now()
+		const capacity, lines = 10, 100
+		out := &blockedWriter{release: make(chan struct{})}
+		sink := logsink.New(out, capacity)
+		start := time.Now()
 		for n := range lines {
 			_, err := sink.Write([]byte("line\n"))
 			is.NoErr(err)
 			if n == 0 {
-				// The first line is on its way to the reader, and stays there: what
-				// comes next has only the room to wait in.
+				// The first line blocks in the writer. From here on lines can only be
+				// queued.
 				synctest.Wait()
 			}
 		}
-		is.Equal(time.Since(begun), time.Duration(0))
+		is.Equal(time.Since(start), time.Duration(0))
 		close(out.release)
 		sink.Close(context.Background())
-		is.Equal(strings.Count(out.String(), "line\n"), 1+room)
-		var told struct {
+		is.Equal(strings.Count(out.String(), "line\n"), 1+capacity)
+		var report struct {
 			Msg   string
 			Lines int
 		}
 		at := strings.Index(out.String(), "{")
-		is.NoErr(json.Unmarshal([]byte(strings.SplitN(out.String()[at:], "\n", 2)[0]), &told))
-		is.Equal(told.Msg, "log lines dropped")
-		is.Equal(told.Lines, lines-room-1)
+		is.NoErr(json.Unmarshal([]byte(strings.SplitN(out.String()[at:], "\n", 2)[0]), &report))
+		is.Equal(report.Msg, "log lines dropped")
+		is.Equal(report.Lines, lines-capacity-1)
 	})
 }
 
-// chunks notes each write by itself.
-type chunks struct{ sizes []int }
+// sizeRecorder records the size of each write.
+type sizeRecorder struct{ sizes []int }
 
-func (c *chunks) Write(p []byte) (int, error) {
+func (c *sizeRecorder) Write(p []byte) (int, error) {
 	c.sizes = append(c.sizes, len(p))
 	return len(p), nil
 }
 
-// Many lines wait, and the pipe is shared with other processes. Writes longer than
-// what a pipe takes whole would be mixed with theirs in the middle of a line.
+// Many lines are queued, and the pipe is shared with other processes. Writes longer than
+// PIPE_BUF could be interleaved with theirs in the middle of a line.
 func TestWritesAreWholeLinesThatAPipeTakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		out := &chunks{}
+		out := &sizeRecorder{}
 		sink := logsink.New(out, 1000)
 		line := append(bytes.Repeat([]byte("x"), 299), '\n')
 		for range 500 {
@@ -90,8 +90,8 @@
 	})
 }
 
-// A process ends with lines still waiting: they are written first.
-func TestCloseWritesWhatWaits(t *testing.T) {
+// Lines are still queued when a process ends. They must be written before Close returns.
+func TestCloseFlushesQueuedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &bytes.Buffer{}
@@ -104,10 +104,10 @@
 	})
 }
 
-// A reader that never comes back must not keep a process from ending.
-func TestCloseGivesUpOnAStuckReader(t *testing.T) {
+// A reader that stays blocked must not keep a process from ending.
+func TestCloseTimesOutOnBlockedReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		sink := logsink.New(out, 10)
 		_, _ = sink.Write([]byte("x\n"))
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -117,9 +117,9 @@
 	})
 }
 
-// One kind of line comes a thousand times in a second. The log keeps the first of
-// them and those of other kinds, and the next second says how many are missing.
-func TestKindsAreBoundedAndCounted(t *testing.T) {
+// One message is logged a thousand times in a second. The first lines of it and those of
+// other messages are written, and the next second reports how many were suppressed.
+func TestLinesPerMessageAreLimitedAndCounted(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1000, 0)
 	out := &bytes.Buffer{}
--- a/internal/transport/logsink/sink.go
+++ b/internal/transport/logsink/sink.go
@@ -1,6 +1,6 @@
-// Package logsink takes log lines without ever holding up the decision that they
-// tell of: lines wait in memory for a slow or stuck reader, up to a bound, and what
-// does not fit is dropped and counted. The lines of one kind are bounded by second.
+// Package logsink writes log lines without ever blocking the code that logs. Lines are
+// queued in memory for a slow or blocked reader, up to a limit; lines that do not fit are
+// dropped and counted. The lines of each message are limited per second.
 package logsink
 
 import (
@@ -12,13 +12,13 @@
 	"time"
 )
 
-// DefaultLength is how many lines wait at most: two seconds of a leader that logs
-// at the bound of several kinds, 1 MB of memory at 250 bytes a line.
+// DefaultLength is the default capacity of the queue, in lines: two seconds of a leader
+// that logs several messages at their rate limit, or 1 MB of memory at 250 bytes per line.
 const DefaultLength = 4096
 
-// maxWrite bounds the bytes of one write, so that lines which wait share one. A pipe
-// takes this much whole (PIPE_BUF): longer writes may be cut in the middle of a line
-// by those of other processes that share it.
+// maxWrite limits the bytes of one write that combines queued lines. Writes of up to this
+// size to a pipe are atomic (PIPE_BUF); longer ones may be interleaved in the middle of a
+// line with those of other processes that share the pipe.
 const maxWrite = 4096
 
 var (
@@ -27,25 +27,26 @@
 	bytesWritten = expvar.NewInt("log_bytes")
 )
 
-// Sink is an io.Writer that never blocks. Each Write is one line.
+// Sink is an io.Writer that never blocks. Each Write must be one line.
 type Sink struct {
 	out   io.Writer
 	lines chan []byte
-	// dropped counts what was not taken and has not been told yet.
+	// dropped counts the dropped lines that have not been reported yet.
 	dropped atomic.Int64
 	closing chan struct{}
-	ended   chan struct{}
+	done    chan struct{}
 }
 
-// New makes a sink in front of a writer, with room for a number of lines.
+// New creates a sink that writes to out and queues up to length lines. It must be closed
+// to flush the queue.
 func New(out io.Writer, length int) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, length), closing: make(chan struct{}), ended: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, length), closing: make(chan struct{}), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes a line, or drops it where no room is left. It never fails: who logs
-// could do nothing about it.
+// Write queues a line, or drops it if the queue is full. It never returns an error, which
+// callers could not handle anyway.
 func (s *Sink) Write(line []byte) (int, error) {
 	if len(line) == 0 {
 		return 0, nil
@@ -59,17 +60,18 @@
 	return len(line), nil
 }
 
-// Close writes what waits, for as long as ctx allows. Lines that come later are lost.
+// Close writes the queued lines and returns when that is done or ctx ends. Lines written
+// after Close are lost.
 func (s *Sink) Close(ctx context.Context) {
 	close(s.closing)
 	select {
-	case <-s.ended:
+	case <-s.done:
 	case <-ctx.Done():
 	}
 }
 
 func (s *Sink) run() {
-	defer close(s.ended)
+	defer close(s.done)
 	for {
 		select {
 		case line := <-s.lines:
@@ -92,13 +94,14 @@
 	}
 }
 
-// write writes a line, and those that wait behind it.
+// write writes a line together with lines queued behind it, in writes of at most maxWrite
+// bytes unless a single line is longer.
 func (s *Sink) write(line []byte) {
 	for line != nil {
 		batch, count := line, int64(1)
 		line = nil
 		for line == nil && len(batch) < maxWrite {
-			next := s.waiting()
+			next := s.nextQueued()
 			if next == nil {
 				break
 			}
@@ -109,12 +112,12 @@
 			batch = append(batch, next...)
 			count++
 		}
-		s.put(batch, count)
+		s.writeBatch(batch, count)
 	}
 }
 
-// waiting takes a line that waits; nil where none does.
-func (s *Sink) waiting() []byte {
+// nextQueued takes the next line from the queue, or returns nil if it is empty.
+func (s *Sink) nextQueued() []byte {
 	select {
 	case next := <-s.lines:
 		return next
@@ -123,9 +126,10 @@
 	}
 }
 
-// put writes whole lines, and tells what was dropped since the last ones. A writer
-// that fails loses the lines: there is no other place to say so.
-func (s *Sink) put(batch []byte, count int64) {
+// writeBatch writes complete lines, after a line that reports those dropped since the last
+// batch. If the writer fails, the lines are counted as dropped, because there is nowhere
+// else to report the error.
+func (s *Sink) writeBatch(batch []byte, count int64) {
 	if dropped := s.dropped.Swap(0); dropped > 0 {
 		if _, err := io.WriteString(s.out, droppedLine(dropped)); err != nil {
 			s.dropped.Add(dropped)
