--- a/internal/transport/metrics/metrics.go
+++ b/internal/transport/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics serves the process's counters and histograms as text, a line each:
-// the name, a space, the value; a map's members as name.member.
+// Package metrics serves the expvar variables of the process as plain text, one per line:
+// the name, a space and the value. Members of maps are named name.member.
 package metrics
 
 import (
@@ -12,15 +12,15 @@
 	"slices"
 )
 
-// skipped are variables that say nothing of what the process does.
-var skipped = map[string]bool{"cmdline": true, "memstats": true}
+// excluded holds the expvar variables that are not metrics of this system.
+var excluded = map[string]bool{"cmdline": true, "memstats": true}
 
-// Handler answers every path with all metrics.
+// Handler returns a handler that answers every path with all metrics.
 func Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		expvar.Do(func(variable expvar.KeyValue) {
-			if !skipped[variable.Key] {
+			if !excluded[variable.Key] {
 				write(w, variable.Key, variable.Value.String())
 			}
 		})
