--- a/internal/transport/tlsfiles/tlsfiles.go
+++ b/internal/transport/tlsfiles/tlsfiles.go
@@ -1,5 +1,5 @@
-// Package tlsfiles serves TLS from files and reads them again when they change,
-// so that a renewed certificate needs no restart.
+// Package tlsfiles provides TLS configurations from files and reloads the files when they
+// change, so that a renewed certificate needs no restart.
 package tlsfiles
 
 import (
@@ -15,25 +15,25 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// checkEvery bounds how often the files' times are looked at.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks of the files for changes.
+const checkInterval = time.Second
 
 var (
 	reloads = expvar.NewInt("tls_reloads")
-	// reloadFailures counts changed files that could not be used; the last good
+	// reloadFailures counts failed reloads of changed files, after which the last valid
 	// ones stay in use.
 	reloadFailures = expvar.NewInt("tls_reload_failures")
 )
 
-// Files are paths of PEM files. Authority is empty where the other side shows
-// no certificate.
+// Files holds paths of PEM files. Authority holds the trusted certificate authorities; it is
+// empty if peers present no certificate.
 type Files struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Source gives TLS configurations from the files as they are now.
+// Source provides TLS configurations from the current contents of the files.
 type Source struct {
 	files Files
 	now   func() time.Time
@@ -41,15 +41,15 @@
 	mu      sync.Mutex
 	checked time.Time
 	stamp   string
-	current material
+	current credentials
 }
 
-type material struct {
+type credentials struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Open reads the files once; a failure is BadSettings.
+// Open loads the files; errors have the code BadSettings. now returns the current time.
 func Open(files Files, now func() time.Time) (*Source, error) {
 	s := &Source{files: files, now: now, checked: now()}
 	loaded, err := files.load()
@@ -61,12 +61,12 @@
 	return s, nil
 }
 
-func (f Files) load() (material, error) {
+func (f Files) load() (credentials, error) {
 	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return material{}, err
+		return credentials{}, err
 	}
-	loaded := material{certificate: &certificate}
+	loaded := credentials{certificate: &certificate}
 	if f.Authority == "" {
 		return loaded, nil
 	}
@@ -74,7 +74,8 @@
 	return loaded, err
 }
 
-// ReadAuthority reads certificates to trust.
+// ReadAuthority reads the trusted certificate authorities from a PEM file; errors have the
+// code BadSettings.
 func ReadAuthority(path string) (*x509.CertPool, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,12 +83,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(text) {
-		return nil, failure.New(failure.BadSettings, "%s holds no certificate", path)
+		return nil, failure.New(failure.BadSettings, "%s contains no certificate", path)
 	}
 	return pool, nil
 }
 
-// stamp changes when a file is written or replaced.
+// stamp returns a value that changes when a file is written or replaced: the modification
+// times and sizes.
 func (f Files) stamp() string {
 	var stamp strings.Builder
 	for _, path := range []string{f.Certificate, f.Key, f.Authority} {
@@ -98,13 +100,14 @@
 	return stamp.String()
 }
 
-// material gives what to use now. Files in the middle of a change may not fit
-// each other: then the last good ones stay until the next look.
-func (s *Source) material() material {
+// credentials returns the current credentials and reloads changed files. While files are
+// being replaced, key and certificate may not match; then the last valid ones are used
+// until the next check.
+func (s *Source) credentials() credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	if now.Sub(s.checked) < checkEvery {
+	if now.Sub(s.checked) < checkInterval {
 		return s.current
 	}
 	s.checked = now
@@ -122,40 +125,41 @@
 	return loaded
 }
 
-// Server is for callers, who show no certificate.
+// Server returns the configuration of a server whose clients present no certificate.
 func (s *Source) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return s.material().certificate, nil
+			return s.credentials().certificate, nil
 		},
 	}
 }
 
-// MutualServer accepts only peers whose certificate the authority signed.
+// MutualServer returns the configuration of a server that accepts only clients with a
+// certificate signed by the authority.
 func (s *Source) MutualServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			now := s.material()
+			current := s.credentials()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{*now.certificate},
+				Certificates: []tls.Certificate{*current.certificate},
 				ClientAuth:   tls.RequireAndVerifyClientCert,
-				ClientCAs:    now.authority,
+				ClientCAs:    current.authority,
 			}, nil
 		},
 	}
 }
 
-// MutualClient dials the instance whose certificate the authority signed for
-// that name; another instance's certificate doesn't do.
+// MutualClient returns the configuration of a client that accepts only a server with a
+// certificate signed by the authority for the name of the instance.
 func (s *Source) MutualClient(instance string) *tls.Config {
-	now := s.material()
+	current := s.credentials()
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
-		Certificates: []tls.Certificate{*now.certificate},
-		RootCAs:      now.authority,
+		Certificates: []tls.Certificate{*current.certificate},
+		RootCAs:      current.authority,
 		ServerName:   instance,
 	}
 }
--- a/internal/transport/tlsfiles/tlsfiles_test.go
+++ b/internal/transport/tlsfiles/tlsfiles_test.go
@@ -11,8 +11,8 @@
 	"pinewinch.example/pinewinch/internal/testcerts"
 )
 
-// A certificate is renewed under the same path. New connections show it without
-// a restart; a half-written one is not used, and the last good one stays.
+// A certificate is renewed under the same path. New connections must use it without a
+// restart; a partly written file must not be used, and the last valid certificate stays.
 func TestReload(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
@@ -24,18 +24,18 @@
 	source, err := Open(files, func() time.Time { return now })
 	is.NoErr(err)
 	loaded, failed := reloads.Value(), reloadFailures.Value()
-	first := source.material().certificate
+	first := source.credentials().certificate
 
 	is.NoErr(authority.Issue(folder, "i1"))
 	is.NoErr(os.Chtimes(files.Certificate, now, now.Add(time.Second)))
-	is.Equal(source.material().certificate, first) // not looked at again yet
-	now = now.Add(checkEvery)
-	second := source.material().certificate
+	is.Equal(source.credentials().certificate, first) // not checked again yet
+	now = now.Add(checkInterval)
+	second := source.credentials().certificate
 	is.True(second != first)
 
 	is.NoErr(os.WriteFile(files.Certificate, []byte("half"), 0o600))
-	now = now.Add(checkEvery)
-	is.Equal(source.material().certificate, second)
+	now = now.Add(checkInterval)
+	is.Equal(source.credentials().certificate, second)
 	is.Equal(reloads.Value()-loaded, int64(1))
 	is.Equal(reloadFailures.Value()-failed, int64(1))
 }
