--- a/internal/coordination/feed/encoding_test.go
+++ b/internal/coordination/feed/encoding_test.go
@@ -16,14 +16,14 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// A source with little of a core takes 2 s to encode a large state and sent nothing
-// meanwhile. Its followers took it for silent after 0.75 s and left; the encoding
-// went with the last of them, and at the next source all began again: they refused
-// callers for good. A source answers pings while it encodes.
+// A source with a small share of a CPU core takes 2 s to encode a large state. If it sent
+// nothing meanwhile, its followers would time out after 0.75 s and leave, the encoding
+// would be discarded with the last of them, and all would start over at the next source:
+// they would refuse callers forever. A source must answer pings while it encodes.
 func TestSourceAnswersPingsWhileItEncodes(t *testing.T) {
 	const encoding, pingEvery = 2 * time.Second, 200 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		is, source := is.New(t), newStillSource()
+		is, source := is.New(t), newStaticSource()
 		server := NewServer(source)
 		encode := server.snapshots.marshal
 		server.snapshots.marshal = func(snapshot *controlpb.Snapshot) ([]byte, error) {
@@ -45,28 +45,28 @@
 	})
 }
 
-// stillSource is a source whose state is there and does not change.
-type stillSource struct{ *control.PublishedState }
+// staticSource is a source whose state does not change.
+type staticSource struct{ *control.PublishedState }
 
-func newStillSource() stillSource {
+func newStaticSource() staticSource {
 	published := control.NewPublishedState()
 	published.Publish(store.Restore(&controlpb.Snapshot{Index: 7, Drained: []string{"w1"}}))
-	return stillSource{published}
+	return staticSource{published}
 }
 
-func (s stillSource) Leader() string              { return "v" }
-func (s stillSource) Age() (time.Duration, error) { return 0, nil }
-func (s stillSource) Path() []string              { return []string{"v"} }
+func (s staticSource) Leader() string              { return "v" }
+func (s staticSource) Age() (time.Duration, error) { return 0, nil }
+func (s staticSource) Path() []string              { return []string{"v"} }
 
-// pipe is the serving end of a stream; it notes when batches came.
+// pipe is the serving end of a stream; it records when batches were sent.
 type pipe struct {
-	ctx     context.Context
-	pings   chan *peerpb.FollowPing
-	mu      sync.Mutex
-	opened  time.Time
-	came    []time.Time
-	carried int
-	// taken counts the bytes of parts and entries, as a follower acknowledges them.
+	ctx           context.Context
+	pings         chan *peerpb.FollowPing
+	mu            sync.Mutex
+	opened        time.Time
+	received      []time.Time
+	snapshotParts int
+	// taken counts the bytes of parts and entries that the follower acknowledges.
 	taken uint64
 }
 
@@ -77,10 +77,10 @@
 func (p *pipe) Send(batch *peerpb.FollowBatch) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.came = append(p.came, time.Now())
+	p.received = append(p.received, time.Now())
 	p.taken += BulkBytes(batch)
 	if batch.Snapshot != nil {
-		p.carried++
+		p.snapshotParts++
 	}
 	return nil
 }
@@ -109,21 +109,21 @@
 	return p.taken
 }
 
-// longestGap is the longest time without a batch, up to now.
+// longestGap returns the longest time without a batch, up to now.
 func (p *pipe) longestGap() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	longest, before := time.Duration(0), p.opened
-	for _, at := range p.came {
-		longest = max(longest, at.Sub(before))
-		before = at
+	longest, previous := time.Duration(0), p.opened
+	for _, at := range p.received {
+		longest = max(longest, at.Sub(previous))
+		previous = at
 	}
-	return max(longest, time.Since(before))
+	return max(longest, time.Since(previous))
 }
 
-// parts counts the parts of a snapshot that came.
+// parts counts the snapshot parts received.
 func (p *pipe) parts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.carried
+	return p.snapshotParts
 }
--- a/internal/coordination/feed/feed.go
+++ b/internal/coordination/feed/feed.go
@@ -1,13 +1,13 @@
-// Package feed serves the applied log to followers, from a bounded tail in
-// memory or, where that no longer reaches, by a snapshot in parts. Voters and
-// followers both serve through it, so that followers can follow followers.
+// Package feed streams the applied log to followers, from a bounded tail in
+// memory or, if the tail does not reach back far enough, as a snapshot in parts.
+// Voters and followers both use it, so that followers can follow followers.
 //
-// Freshness: a follower numbers its pings and keeps when it sent each one. A
-// batch names the newest ping that was read before the sender took the age of
-// its own state, so that state was confirmed at the latest `age` before the
-// follower sent that ping. Only durations of one machine are added up; no two
-// clocks are compared, and a batch that lay in a buffer while a link was cut or
-// a process was stopped cannot pass for news.
+// Freshness: a follower numbers its pings and records when it sent each one. A
+// batch echoes the newest ping that was read before the sender computed the age
+// of its own state. That state therefore holds everything that was committed
+// `age` before the follower sent that ping. Only durations measured on one machine are
+// added up and no two clocks are compared. A batch that was buffered while a
+// link was partitioned or a process was paused is not mistaken for a recent one.
 package feed
 
 import (
@@ -26,24 +26,24 @@
 )
 
 const (
-	// MaxBatchBytes bounds the encoded entries, or the snapshot part, of one batch:
-	// what else goes over the link waits behind it, 66 ms at 2 Mbit/s.
+	// MaxBatchBytes limits the encoded entries, or the snapshot part, of one batch.
+	// Other traffic on the link queues behind a batch, for 66 ms at 2 Mbit/s.
 	MaxBatchBytes = 16 << 10
-	// windowBytes bounds what is on its way to a follower and not yet taken: three
-	// batches keep a link of 2 Mbit/s busy and hold up calls and soft state on it
-	// for 0.2 s at most. Without a bound a transfer fills every buffer on the way.
+	// windowBytes limits the bytes sent to a follower and not yet acknowledged. Three
+	// batches keep a link of 2 Mbit/s busy and delay calls and soft state on it
+	// by 0.2 s at most. Without a limit a transfer fills every buffer on the path.
 	windowBytes = 3 * MaxBatchBytes
-	// TailBytes is the memory that the entries kept for followers may take.
+	// TailBytes limits the memory for the entries retained for followers.
 	TailBytes = 8 << 20
-	// MaxFollowers bounds the streams that one instance serves; a follower that
-	// is refused asks the next source, so that a tree arises.
+	// MaxFollowers limits the streams that one instance serves. A follower that
+	// is refused asks the next source, so that the followers form a tree.
 	MaxFollowers = 16
-	// mostRelayedTransfers bounds the snapshots that an instance without a disk sends
-	// at a time: on 2 Mbit/s one of 250 KB takes 1 s, and as many seconds as there are.
-	mostRelayedTransfers = 1
-	// MaxPath bounds the instances between a voter and a follower, the voter
-	// counted: each adds to the age, which must stay under the freshness bound.
-	MaxPath = 4
+	// maxRelayedTransfers limits the snapshots that an instance without a disk sends
+	// concurrently: at 2 Mbit/s a snapshot of 250 KB takes 1 s, and n at once take n s each.
+	maxRelayedTransfers = 1
+	// MaxPathLength limits the instances between a voter and a follower, the voter
+	// included. Each adds to the age, which must stay below the freshness bound.
+	MaxPathLength = 4
 )
 
 var (
@@ -53,51 +53,51 @@
 	followsRefused = expvar.NewInt("feed_follows_refused")
 )
 
-// Source is the state that a feed serves.
+// Source provides the state that a Server streams.
 type Source interface {
 	State() *store.State
 	Changed() <-chan struct{}
 	Leader() string
-	// Age is such that a State read after it returned holds everything that was
-	// committed that long ago or earlier. It fails with stale_state where that
-	// is unknown or longer than the freshness bound.
+	// Age returns an upper limit on the staleness of the state: a State read after Age
+	// returned holds everything that was committed that long ago or earlier. It fails
+	// with stale_state if the age is unknown or exceeds the freshness bound.
 	Age() (time.Duration, error)
-	// Path names the instances from a voter down to this one, itself included.
+	// Path returns the names of the instances from a voter to this one, inclusive.
 	Path() []string
 }
 
-// Server serves one instance's state to its followers.
+// Server streams one instance's state to its followers.
 type Server struct {
 	source    Source
 	tail      *Tail
-	kept      keptStates
+	retained  retainedStates
 	snapshots *snapshotCache
-	places    places
-	// transfers counts the followers that are being sent a snapshot.
+	slots     slots
+	// transfers counts the snapshots that are being sent.
 	transfers atomic.Int64
 }
 
-// NewServer makes a server. The source's owner calls Applied before it
-// publishes the state that the entries lead to.
+// NewServer creates a server. The owner of the source calls Applied before it
+// publishes the state that results from the entries.
 func NewServer(source Source) *Server {
 	return &Server{source: source, tail: NewTail(TailBytes), snapshots: newSnapshotCache()}
 }
 
-// Applied keeps entries for followers.
+// Applied retains applied entries for followers.
 func (s *Server) Applied(entries ...*peerpb.LogEntry) { s.tail.Append(entries...) }
 
-// Passed tells of each state that an entry led to.
-func (s *Server) Passed(state *store.State) { s.kept.pass(state) }
+// Passed offers the state after each applied entry for retention as a snapshot.
+func (s *Server) Passed(state *store.State) { s.retained.add(state) }
 
-// Installed tells that the state was replaced by a snapshot, after the last
-// entry and before the owner publishes it. The entries kept no longer lead to
-// the state: a follower that got only those would wait for the rest for ever.
+// Installed records that a snapshot replaced the state. It is called after the last
+// entry was applied and before the owner publishes the state. The retained entries
+// end before the snapshot: a follower that received only those would never catch up.
 func (s *Server) Installed(state *store.State) {
 	s.tail.Reset()
-	s.kept.reset(state)
+	s.retained.reset(state)
 }
 
-// Serve sends the log from after the asked index until the stream ends, or
+// Serve sends the log after the requested index until the stream ends or
 // this instance's own state is stale.
 func (s *Server) Serve(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error {
 	if err := s.admit(follow); err != nil {
@@ -116,36 +116,36 @@
 	return session.run(ctx)
 }
 
-// admit refuses a follower that this instance itself depends on: a loop of
-// relays would confirm itself. Ages in a loop grow until all are stale, so the
-// refusal is for speed; safety rests on the ages.
+// admit refuses a follower that this instance itself follows, directly or through
+// others: a cycle of relays has no voter to confirm its state. The ages in a cycle grow
+// until every member is stale, which ensures safety; the refusal detects the cycle sooner.
 func (s *Server) admit(follow *peerpb.Follow) error {
 	if _, err := s.source.Age(); err != nil {
 		return err
 	}
 	path := s.source.Path()
 	if slices.Contains(path, follow.Instance) {
-		return failure.New(failure.NotReady, "this instance follows %s", follow.Instance)
+		return failure.New(failure.NotReady, "would form a cycle: this instance follows %s", follow.Instance)
 	}
-	if len(path) > MaxPath {
-		return failure.New(failure.NotReady, "%d instances lie between here and a voter", len(path))
+	if len(path) > MaxPathLength {
+		return failure.New(failure.NotReady, "path to a voter has %d instances, more than the limit", len(path))
 	}
-	if !s.places.take(follow, keepsTheLog(s.source.State().Replicas(), follow.Instance)) {
-		return s.full("%d followers are served already", MaxFollowers)
+	if !s.slots.acquire(follow, isReplica(s.source.State().Replicas(), follow.Instance)) {
+		return s.overloaded("limit of %d followers reached", MaxFollowers)
 	}
 	followers.Add(1)
 	return nil
 }
 
-// full refuses for want of room and names who else has the state.
-func (s *Server) full(format string, args ...any) error {
+// overloaded returns a refusal for lack of capacity, which lists other sources of the state.
+func (s *Server) overloaded(format string, args ...any) error {
 	refusal := failure.New(failure.Overloaded, format, args...)
-	refusal.Sources = append(replicaSources(s.source.State().Replicas()), s.places.sources()...)
+	refusal.Sources = append(replicaSources(s.source.State().Replicas()), s.slots.sources()...)
 	return refusal
 }
 
 func (s *Server) release(follow *peerpb.Follow) {
-	s.places.leave(follow.Instance)
+	s.slots.release(follow.Instance)
 	followers.Add(-1)
 }
 
@@ -154,13 +154,13 @@
 	server *Server
 	stream control.Stream
 	after  uint64
-	// held is what an earlier source sent of a snapshot.
+	// held describes the part of a snapshot that the follower has from an earlier source.
 	held *peerpb.HeldSnapshot
-	// windowed tells whether the follower says what it has taken.
+	// windowed is true if the follower acknowledges the bytes it has received.
 	windowed bool
-	// sent counts the bytes of snapshot parts and entries.
+	// sent counts the bytes of snapshot parts and entries sent.
 	sent uint64
-	// ping and taken are the newest read; pinged wakes run.
+	// ping and taken are from the newest ping read; pinged wakes run.
 	ping   atomic.Uint64
 	taken  atomic.Uint64
 	pinged chan struct{}
@@ -168,7 +168,7 @@
 	path   []string
 }
 
-// receive reads pings; the end of the stream ends the session.
+// receive reads pings. It ends the session when the stream ends.
 func (s *session) receive(cancel context.CancelFunc) {
 	defer cancel()
 	for {
@@ -207,9 +207,9 @@
 	return nil
 }
 
-// step sends what comes next and tells whether the follower then has it all.
-// The order matters: ping, then age, then state. The state then holds all that
-// the age speaks of, and the age is not older than the ping.
+// step sends the next batch and reports whether the follower is then up to date.
+// The order of reads matters: ping, then age, then state. The state then holds
+// everything that the age covers, and the age was computed after the ping was read.
 func (s *session) step(ctx context.Context) (bool, error) {
 	batch := &peerpb.FollowBatch{Echo: s.ping.Load()}
 	age, err := s.server.source.Age()
@@ -223,7 +223,7 @@
 	if s.after >= state.Index() {
 		return true, s.send(batch)
 	}
-	entries, ok := s.server.tail.After(s.after, MaxBatchBytes, s.form())
+	entries, ok := s.server.tail.After(s.after, MaxBatchBytes, s.encoding())
 	if !ok {
 		return false, s.sendSnapshot(ctx, state, batch)
 	}
@@ -237,15 +237,16 @@
 	return s.after >= state.Index(), nil
 }
 
-// form is how the follower reads large entries; an older one knows only the plain.
-func (s *session) form() form {
+// encoding returns the encoding that the follower supports for large entries; followers
+// of an earlier version support only plain.
+func (s *session) encoding() encoding {
 	if s.windowed {
 		return packed
 	}
 	return plain
 }
 
-// awaitWindow waits until less than the window is on its way to the follower.
+// awaitWindow waits until fewer than windowBytes are unacknowledged.
 func (s *session) awaitWindow(ctx context.Context) error {
 	for s.windowed && s.sent-s.taken.Load() >= windowBytes {
 		select {
@@ -257,9 +258,9 @@
 	return nil
 }
 
-// sendSnapshot sends a state in parts, from where an earlier transfer of the same
-// one broke off. Commit and age of the first batch hold for every part: the
-// follower is at commit only after the last.
+// sendSnapshot sends a state in parts, resuming at the offset where an earlier transfer
+// of the same snapshot was interrupted. Commit and age of the first batch apply to every
+// part: the follower reaches the commit index only after the last.
 func (s *session) sendSnapshot(ctx context.Context, state *store.State, first *peerpb.FollowBatch) error {
 	if err := s.server.beginTransfer(); err != nil {
 		return err
@@ -286,9 +287,9 @@
 	return nil
 }
 
-// awaitEncoded answers pings until the snapshot is encoded: a follower leaves a source
-// that says nothing for 0.75 s, and the encoding goes with the last of them. With a
-// large state and little of a core no follower would ever get it.
+// awaitEncoded answers pings until the snapshot is encoded. A follower leaves a source
+// that sends nothing for 0.75 s, and the encoding is discarded with the last follower.
+// With a large state and a small share of a CPU core no follower would ever receive it.
 func (s *session) awaitEncoded(ctx context.Context, encoded *encodedSnapshot) error {
 	for {
 		select {
@@ -298,39 +299,40 @@
 			return encoded.err
 		case <-s.pinged:
 		}
-		// Without an echo it says that this source is alive, and confirms no state.
+		// A batch without an echo shows that this source is alive but confirms no state.
 		if err := s.send(&peerpb.FollowBatch{}); err != nil {
 			return err
 		}
 	}
 }
 
-// beginTransfer refuses a second snapshot at a time where this instance follows
-// another one: its link is thin, and four followers that share it get a state four
-// times as late as one, while others have room. The refused one asks the next source.
+// beginTransfer refuses a second concurrent snapshot if this instance follows another
+// one: its link is slow, and four followers that share it receive a state four times as
+// late as one would, while other sources have capacity. A refused follower asks the next
+// source.
 func (s *Server) beginTransfer() error {
 	relay := len(s.source.Path()) > 1
-	if s.transfers.Add(1) > mostRelayedTransfers && relay {
+	if s.transfers.Add(1) > maxRelayedTransfers && relay {
 		s.transfers.Add(-1)
-		return s.full("%d snapshot is being sent already", mostRelayedTransfers)
+		return s.overloaded("already sending %d snapshot, the limit of a relay", maxRelayedTransfers)
 	}
 	return nil
 }
 
-// snapshotOf chooses the state to send: the one whose transfer broke off, else the
-// newest that is kept, and the current one where the entries behind that are gone.
+// snapshotOf chooses the state to send: the one whose transfer was interrupted, else the
+// newest retained one, or the current one if the tail lacks entries after the retained one.
 func (s *session) snapshotOf(current *store.State) *store.State {
-	kept := s.server.kept.at(s.held.GetIndex())
-	if kept == nil {
-		kept = s.server.kept.newest(current.Index())
+	retained := s.server.retained.at(s.held.GetIndex())
+	if retained == nil {
+		retained = s.server.retained.newest(current.Index())
 	}
-	if kept == nil || kept.Index() <= s.after {
+	if retained == nil || retained.Index() <= s.after {
 		return current
 	}
-	if _, reaches := s.server.tail.After(kept.Index(), 0, plain); !reaches {
+	if _, reaches := s.server.tail.After(retained.Index(), 0, plain); !reaches {
 		return current
 	}
-	return kept
+	return retained
 }
 
 func (s *session) send(batch *peerpb.FollowBatch) error {
@@ -339,7 +341,7 @@
 	return s.stream.Send(batch)
 }
 
-// describe adds leader and path where they changed since the last batch.
+// describe adds leader and path to the batch if they changed since the last one.
 func (s *session) describe(batch *peerpb.FollowBatch) {
 	if leader := s.server.source.Leader(); leader != s.leader {
 		s.leader = leader
@@ -351,8 +353,8 @@
 	}
 }
 
-// BulkBytes is what a batch counts in the window: the bytes of its snapshot part
-// and its entries.
+// BulkBytes returns the bytes by which a batch counts towards the send window: those of
+// its snapshot part and its entries.
 func BulkBytes(batch *peerpb.FollowBatch) uint64 {
 	bytes := uint64(len(batch.GetSnapshot().GetData()))
 	for _, entry := range batch.Entries {
--- a/internal/coordination/feed/feed_test.go
+++ b/internal/coordination/feed/feed_test.go
@@ -19,13 +19,13 @@
 	return &peerpb.LogEntry{Index: index, Command: &controlpb.Command{Client: string(make([]byte, size))}}
 }
 
-// Whatever is appended, with gaps as installed snapshots leave them, the tail
-// stays in its bytes, and a batch continues the asked index without a gap, is
-// not over its bound unless it is one entry, and is given or refused rightly.
+// For any sequence of appends, with gaps as after installed snapshots, the tail stays
+// within its limit. A batch follows the requested index without a gap, exceeds its limit
+// only if it is a single entry, and is refused exactly if the tail does not reach back.
 func TestModelTail(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 2000
-		tail := NewTail(most)
+		const limit = 2000
+		tail := NewTail(limit)
 		last := rapid.Uint64Range(0, 100).Draw(t, "first")
 		for range rapid.IntRange(1, 50).Draw(t, "appends") {
 			last += uint64(rapid.SampledFrom([]int{1, 1, 1, 1, 7}).Draw(t, "step"))
@@ -35,26 +35,26 @@
 		for _, held := range tail.entries {
 			total += proto.Size(held.entry)
 		}
-		if total != tail.bytes || total > most {
-			t.Fatalf("%d bytes held, %d counted, %d allowed", total, tail.bytes, most)
+		if total != tail.bytes || total > limit {
+			t.Fatalf("%d bytes held, %d counted, %d allowed", total, tail.bytes, limit)
 		}
 		after := rapid.Uint64Range(0, last+3).Draw(t, "after")
 		batch, ok := tail.After(after, 500, plain)
 		if reaches := len(tail.entries) > 0 && after+1 >= tail.entries[0].entry.Index; ok != reaches {
-			t.Fatalf("After(%d) says %t", after, ok)
+			t.Fatalf("After(%d) reports %t", after, ok)
 		}
 		size := 0
 		for i, entry := range batch {
 			size += proto.Size(entry)
 			if entry.Index != after+1+uint64(i) {
-				t.Fatalf("entry %d at place %d after %d", entry.Index, i, after)
+				t.Fatalf("entry %d at position %d after %d", entry.Index, i, after)
 			}
 		}
 		if size > 500 && len(batch) > 1 {
-			t.Fatalf("a batch of %d bytes", size)
+			t.Fatalf("batch of %d bytes exceeds the limit", size)
 		}
 		if ok && after < last && len(batch) == 0 {
-			t.Fatal("nothing given though there is more")
+			t.Fatal("empty batch although entries remain")
 		}
 	})
 }
@@ -64,8 +64,8 @@
 	return e.parts(0)
 }
 
-// Followers that come together share one encoding, which goes with the last.
-func TestSnapshotIsHeldWhileItIsSent(t *testing.T) {
+// Followers that connect together share one encoding, which is dropped after the last.
+func TestSnapshotIsCachedWhileSent(t *testing.T) {
 	is, c := is.New(t), newSnapshotCache()
 	first := c.begin(store.New(), true)
 	second := c.begin(store.New(), true)
@@ -78,9 +78,9 @@
 	is.True(c.newest == nil)
 }
 
-// A snapshot comes in parts; one that is lost, doubled or of another snapshot
-// must not become state.
-func TestAssembly(t *testing.T) {
+// A snapshot arrives in parts. If a part is lost, duplicated or corrupted, the snapshot
+// must not be accepted.
+func TestSnapshotAssembler(t *testing.T) {
 	is := is.New(t)
 	whole := &controlpb.Snapshot{Index: 7, Drained: []string{string(bytes.Repeat([]byte("x"), 2*MaxBatchBytes))}}
 	data, err := proto.Marshal(whole)
@@ -93,15 +93,15 @@
 		done  bool
 	}{
 		"in order":        {[]int{0, 1, 2}, "", true},
-		"begun anew":      {[]int{0, 1, 0, 1, 2}, "", true},
-		"one lost":        {[]int{0, 2}, failure.WrongAnswer, false},
-		"one doubled":     {[]int{0, 1, 1}, failure.WrongAnswer, false},
-		"not all yet":     {[]int{0, 1}, "", false},
-		"without a start": {[]int{1}, failure.WrongAnswer, false},
+		"started again":   {[]int{0, 1, 0, 1, 2}, "", true},
+		"part lost":       {[]int{0, 2}, failure.WrongAnswer, false},
+		"part duplicated": {[]int{0, 1, 1}, failure.WrongAnswer, false},
+		"not complete":    {[]int{0, 1}, "", false},
+		"first missing":   {[]int{1}, failure.WrongAnswer, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			is, a := is.New(t), &Assembly{}
+			is, a := is.New(t), &SnapshotAssembler{}
 			var got *controlpb.Snapshot
 			var err error
 			for _, i := range test.order {
@@ -115,10 +115,10 @@
 		})
 	}
 	large := &peerpb.SnapshotPart{Total: MaxSnapshotBytes + 1}
-	_, err = (&Assembly{}).Add(large)
+	_, err = (&SnapshotAssembler{}).Add(large)
 	is.True(failure.Is(err, failure.TooLarge))
 	wrong := partsOf(data)
-	a := &Assembly{}
+	a := &SnapshotAssembler{}
 	for _, part := range wrong {
 		_, err = a.Add(part)
 	}
--- a/internal/coordination/feed/installed_test.go
+++ b/internal/coordination/feed/installed_test.go
@@ -8,9 +8,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// A snapshot replaces the state behind the last entry that the tail keeps. The
-// tail no longer leads there: it must say so, or the follower is sent empty
-// batches in a loop until the next entry.
+// A snapshot replaces the state after the last entry that the tail holds. The tail must
+// then report that it does not reach the state, or the follower is sent empty batches in a
+// loop until the next entry.
 func TestTailAfterInstall(t *testing.T) {
 	is := is.New(t)
 	tail := NewTail(1000)
--- a/internal/coordination/feed/keptstates.go
+++ b/internal/coordination/feed/keptstates.go
@@ -7,58 +7,58 @@
 )
 
 const (
-	// keptEvery is the distance in entries between two states that are kept to be
-	// sent as snapshots. The entries behind one are sent after it: 256 of 400 bytes
-	// take 0.4 s on a link of 2 Mbit/s.
-	keptEvery = 256
-	// mostKept bounds the states that are kept; they share what did not change.
-	mostKept = 2
+	// retainInterval is the number of log entries between two states that are retained
+	// as snapshots to send. The entries after a snapshot are sent separately: 256 of
+	// 400 bytes take 0.4 s on a link of 2 Mbit/s.
+	retainInterval = 256
+	// maxRetained limits the retained states. They share unchanged data.
+	maxRetained = 2
 )
 
-// keptStates are the newest states at fixed indexes. Every instance keeps the same
-// ones and encodes them alike, so a follower whose source was lost during a
-// transfer goes on at another one, and followers that come within some seconds
-// cost one encoding.
-type keptStates struct {
-	mu   sync.Mutex
-	kept []*store.State
+// retainedStates holds the newest states at fixed indexes. Every instance retains the
+// same ones and encodes them identically, so that a follower whose source was lost during
+// a transfer can resume at another one, and followers that connect within a few seconds
+// share one encoding.
+type retainedStates struct {
+	mu     sync.Mutex
+	states []*store.State
 }
 
-// pass looks at a state that the log has led to.
-func (k *keptStates) pass(state *store.State) {
-	if state.Index()%keptEvery != 0 {
+// add retains the state if its index is a multiple of retainInterval.
+func (k *retainedStates) add(state *store.State) {
+	if state.Index()%retainInterval != 0 {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept = append(k.kept, state)
-	if len(k.kept) > mostKept {
-		k.kept[0] = nil
-		k.kept = k.kept[1:]
+	k.states = append(k.states, state)
+	if len(k.states) > maxRetained {
+		k.states[0] = nil
+		k.states = k.states[1:]
 	}
 }
 
-// reset keeps the given state only, which a snapshot led to.
-func (k *keptStates) reset(state *store.State) {
+// reset replaces the retained states by the one restored from a snapshot.
+func (k *retainedStates) reset(state *store.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept = []*store.State{state}
+	k.states = []*store.State{state}
 }
 
-// newest is the newest one up to the index, or nil.
-func (k *keptStates) newest(upTo uint64) *store.State {
+// newest returns the newest retained state whose index is at most upTo, or nil.
+func (k *retainedStates) newest(upTo uint64) *store.State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for i := len(k.kept) - 1; i >= 0; i-- {
-		if k.kept[i].Index() <= upTo {
-			return k.kept[i]
+	for i := len(k.states) - 1; i >= 0; i-- {
+		if k.states[i].Index() <= upTo {
+			return k.states[i]
 		}
 	}
 	return nil
 }
 
-// at is the one at the index, or nil.
-func (k *keptStates) at(index uint64) *store.State {
+// at returns the retained state at exactly this index, or nil.
+func (k *retainedStates) at(index uint64) *store.State {
 	if found := k.newest(index); found != nil && found.Index() == index {
 		return found
 	}
--- a/internal/coordination/feed/packing.go
+++ b/internal/coordination/feed/packing.go
@@ -12,33 +12,35 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// form is how a follower reads large entries.
-type form int
+// encoding is the encoding in which a follower accepts large entries.
+type encoding int
 
 const (
-	plain form = iota
+	plain encoding = iota
 	packed
 )
 
-// packAbove is the size in bytes from which an entry is compressed: a document of
-// 1,000 queues has 500 KB, which takes 2 s on a link of 2 Mbit/s, and the change
-// must be in force in that time. Smaller entries are not worth the processor time.
-const packAbove = 4 << 10
+// minPackedBytes is the entry size from which commands are compressed. A document of
+// 1,000 queues has 500 KB, which takes 2 s on a link of 2 Mbit/s, and a change must be in
+// force within that time. Compressing smaller entries does not justify the CPU time.
+const minPackedBytes = 4 << 10
 
-// pack gives an entry with its command compressed; nil where it is small.
+// pack returns the entry with its command compressed, or nil if the entry is small.
 func pack(entry *peerpb.LogEntry, size int) *peerpb.LogEntry {
-	if size < packAbove {
+	if size < minPackedBytes {
 		return nil
 	}
 	command, err := proto.Marshal(entry.Command)
 	if err != nil {
-		// The entry goes as it is; whoever encodes it then sees the failure.
+		// The entry is sent unpacked; encoding it then reports the failure.
 		return nil
 	}
 	return &peerpb.LogEntry{Index: entry.Index, Term: entry.Term, PackedCommand: compress(command)}
 }
 
-// Unpack gives an entry in its plain form.
+// Unpack returns an entry with its command uncompressed. It fails with wrong_answer
+// if the compressed command is malformed and with too_large if it exceeds
+// MaxSnapshotBytes.
 func Unpack(entry *peerpb.LogEntry) (*peerpb.LogEntry, error) {
 	if len(entry.PackedCommand) == 0 {
 		return entry, nil
@@ -47,33 +49,33 @@
 	if err != nil {
 		return nil, err
 	}
-	whole := &peerpb.LogEntry{Index: entry.Index, Term: entry.Term, Command: &controlpb.Command{}}
-	if err := proto.Unmarshal(command, whole.Command); err != nil {
+	unpacked := &peerpb.LogEntry{Index: entry.Index, Term: entry.Term, Command: &controlpb.Command{}}
+	if err := proto.Unmarshal(command, unpacked.Command); err != nil {
 		return nil, failure.Wrap(failure.WrongAnswer, err, "entry %d does not decode", entry.Index)
 	}
-	return whole, nil
+	return unpacked, nil
 }
 
-// compress makes a snapshot or a large entry fit a thin link: workflows, jobs and
-// queues are much alike, and take a fraction of their bytes. The fastest level,
-// since control instances have little of a core.
+// compress reduces snapshots and large entries for slow links: workflows, jobs and
+// queues are highly repetitive and compress well. It uses the fastest level because
+// control instances have only a fraction of a CPU core.
 func compress(data []byte) []byte {
 	var compressed bytes.Buffer
-	// Neither a level that exists nor a buffer in memory can fail.
+	// These calls cannot fail with a valid level and a buffer in memory.
 	writer, _ := flate.NewWriter(&compressed, flate.BestSpeed)
 	_, _ = writer.Write(data)
 	_ = writer.Close()
 	return compressed.Bytes()
 }
 
-// decompress gives the bytes back, at most MaxSnapshotBytes.
+// decompress reverses compress. The result is limited to MaxSnapshotBytes.
 func decompress(data []byte) ([]byte, error) {
-	whole, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), MaxSnapshotBytes+1))
+	decompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), MaxSnapshotBytes+1))
 	if err != nil {
-		return nil, failure.Wrap(failure.WrongAnswer, err, "does not decompress")
+		return nil, failure.Wrap(failure.WrongAnswer, err, "compressed data is malformed")
 	}
-	if len(whole) > MaxSnapshotBytes {
-		return nil, failure.New(failure.TooLarge, "over %d bytes when decompressed", MaxSnapshotBytes)
+	if len(decompressed) > MaxSnapshotBytes {
+		return nil, failure.New(failure.TooLarge, "decompressed size exceeds %d bytes", MaxSnapshotBytes)
 	}
-	return whole, nil
+	return decompressed, nil
 }
--- a/internal/coordination/feed/places.go
+++ b/internal/coordination/feed/places.go
@@ -10,71 +10,73 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// places are the streams that an instance serves, by follower.
-type places struct {
-	mu    sync.Mutex
-	taken map[string]*place
+// slots tracks the streams that an instance serves, by follower.
+type slots struct {
+	mu         sync.Mutex
+	byInstance map[string]*slot
 }
 
-// place is one follower's; it may open a second stream before its first has ended.
-type place struct {
+// slot counts the streams of one follower, which may open a second one before its first
+// has ended.
+type slot struct {
 	source  failure.Source
 	streams int
 }
 
-// take gives a follower a place and reports whether there was one. A replica always
-// gets one: without the state it can't be put in its own place among the voters, and
-// while it waited in a crowd of others the loss of two more disks took the quorum.
-func (p *places) take(follow *peerpb.Follow, replica bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.streams() >= MaxFollowers && !replica {
+// acquire counts a stream of a follower and reports whether it was admitted. A replica
+// is always admitted: without the state it cannot be added as a voter in place of its
+// former self, and while it queued behind other followers the loss of two more disks
+// would lose the quorum.
+func (s *slots) acquire(follow *peerpb.Follow, replica bool) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.streams() >= MaxFollowers && !replica {
 		return false
 	}
-	if p.taken == nil {
-		p.taken = map[string]*place{}
+	if s.byInstance == nil {
+		s.byInstance = map[string]*slot{}
 	}
-	if p.taken[follow.Instance] == nil {
-		p.taken[follow.Instance] = &place{source: failure.Source{Instance: follow.Instance, DataCentre: follow.DataCentre}}
+	if s.byInstance[follow.Instance] == nil {
+		s.byInstance[follow.Instance] = &slot{source: failure.Source{Instance: follow.Instance, DataCentre: follow.DataCentre}}
 	}
-	p.taken[follow.Instance].streams++
+	s.byInstance[follow.Instance].streams++
 	return true
 }
 
-func (p *places) leave(instance string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	left := p.taken[instance]
-	left.streams--
-	if left.streams == 0 {
-		delete(p.taken, instance)
+func (s *slots) release(instance string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	used := s.byInstance[instance]
+	used.streams--
+	if used.streams == 0 {
+		delete(s.byInstance, instance)
 	}
 }
 
-// streams counts them. The caller holds the lock.
-func (p *places) streams() int {
+// streams counts the open streams. The caller holds the lock.
+func (s *slots) streams() int {
 	streams := 0
-	for _, taken := range p.taken {
-		streams += taken.streams
+	for _, used := range s.byInstance {
+		streams += used.streams
 	}
 	return streams
 }
 
-// sources are the followers, in the order of their names: each serves others once it
-// has the state.
-func (p *places) sources() []failure.Source {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// sources returns the followers, ordered by name. Each can serve others once it has the
+// state.
+func (s *slots) sources() []failure.Source {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var sources []failure.Source
-	for _, taken := range p.taken {
-		sources = append(sources, taken.source)
+	for _, used := range s.byInstance {
+		sources = append(sources, used.source)
 	}
 	slices.SortFunc(sources, func(a, b failure.Source) int { return cmp.Compare(a.Instance, b.Instance) })
 	return sources
 }
 
-// keepsTheLog tells whether an instance is among the replicas.
-func keepsTheLog(replicas []*controlpb.ReplicaInstance, instance string) bool {
+// isReplica reports whether the instance is one of the replicas.
+func isReplica(replicas []*controlpb.ReplicaInstance, instance string) bool {
 	return slices.ContainsFunc(replicas, func(r *controlpb.ReplicaInstance) bool { return r.Instance == instance })
 }
 
--- a/internal/coordination/feed/snapshot.go
+++ b/internal/coordination/feed/snapshot.go
@@ -12,14 +12,13 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// MaxSnapshotBytes bounds the memory that a follower gives to a snapshot.
+// MaxSnapshotBytes limits the memory that a follower uses for a snapshot.
 const MaxSnapshotBytes = 64 << 20
 
-// snapshotCache keeps the newest encoded snapshot while any follower is sent
-// one: those that come together after a restart cost one encoding, and nothing
-// stays in memory afterwards.
+// snapshotCache holds the newest encoded snapshot while one is being sent to any
+// follower. Followers that connect together after a restart share one encoding, and
+// nothing stays in memory afterwards.
 type snapshotCache struct {
-	// marshal encodes a snapshot.
 	marshal func(*controlpb.Snapshot) ([]byte, error)
 	mu      sync.Mutex
 	users   int
@@ -32,7 +31,7 @@
 	}}
 }
 
-// release ends a use that begin began.
+// release ends a use started by begin.
 func (c *snapshotCache) release() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -45,14 +44,15 @@
 type encodedSnapshot struct {
 	index      uint64
 	compressed bool
-	// done is closed when the rest is there.
+	// done is closed when data, checksum and err are set.
 	done     chan struct{}
 	data     []byte
 	checksum uint64
 	err      error
 }
 
-// begin gives the state's encoding, until release; it may still be under way.
+// begin returns the encoding of the state, which may still be in progress. The caller
+// calls release when it no longer needs it.
 func (c *snapshotCache) begin(state *store.State, compressed bool) *encodedSnapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	e.data, e.checksum = data, xxhash.Sum64(data)
 }
 
-// resumeAt is the offset up to which the follower holds this very snapshot.
+// resumeAt returns the offset up to which the follower already has this snapshot.
 func (e *encodedSnapshot) resumeAt(held *peerpb.HeldSnapshot) int {
 	same := held.GetIndex() == e.index && held.GetTotal() == uint64(len(e.data)) && held.GetChecksum() == e.checksum
 	if !same || held.GetSize() >= uint64(len(e.data)) {
@@ -86,7 +86,7 @@
 	return int(held.GetSize())
 }
 
-// parts cuts the snapshot from an offset on into pieces of at most MaxBatchBytes.
+// parts splits the snapshot from an offset on into parts of at most MaxBatchBytes.
 func (e *encodedSnapshot) parts(from int) []*peerpb.SnapshotPart {
 	var parts []*peerpb.SnapshotPart
 	for offset := from; offset < len(e.data); offset += MaxBatchBytes {
@@ -103,37 +103,37 @@
 	return parts
 }
 
-// Assembly puts the parts of one snapshot together.
-type Assembly struct {
+// SnapshotAssembler reassembles one snapshot from its parts.
+type SnapshotAssembler struct {
 	index uint64
 	total uint64
-	// checksum is of the whole, as the newest part tells it.
+	// checksum is the checksum of the whole snapshot, taken from the newest part.
 	checksum   uint64
 	compressed bool
 	data       []byte
 }
 
-// Held describes what is there of an unfinished snapshot; nil where nothing is.
-func (a *Assembly) Held() *peerpb.HeldSnapshot {
+// Held describes the bytes received of an unfinished snapshot, or is nil if there are none.
+func (a *SnapshotAssembler) Held() *peerpb.HeldSnapshot {
 	if len(a.data) == 0 {
 		return nil
 	}
 	return &peerpb.HeldSnapshot{Index: a.index, Total: a.total, Checksum: a.checksum, Size: uint64(len(a.data))}
 }
 
-// Add takes the next part; after the last one it gives the snapshot. A part
-// that does not fit, or a wrong checksum, fails with wrong_answer: the follower
-// then leaves the source.
-func (a *Assembly) Add(part *peerpb.SnapshotPart) (*controlpb.Snapshot, error) {
+// Add appends the next part and returns the snapshot after the last one, else nil. A
+// part out of sequence or a wrong checksum fails with wrong_answer, a snapshot over
+// MaxSnapshotBytes with too_large. The follower then leaves the source.
+func (a *SnapshotAssembler) Add(part *peerpb.SnapshotPart) (*controlpb.Snapshot, error) {
 	if part.Offset == 0 {
-		*a = Assembly{index: part.Index, total: part.Total, compressed: part.Compressed}
+		*a = SnapshotAssembler{index: part.Index, total: part.Total, compressed: part.Compressed}
 	}
 	if part.Total > MaxSnapshotBytes {
-		return nil, failure.New(failure.TooLarge, "snapshot of %d bytes", part.Total)
+		return nil, failure.New(failure.TooLarge, "snapshot of %d bytes exceeds the limit", part.Total)
 	}
 	held := uint64(len(a.data))
 	if part.Index != a.index || part.Total != a.total || part.Offset != held || held+uint64(len(part.Data)) > a.total {
-		return nil, failure.New(failure.WrongAnswer, "snapshot part at %d does not follow %d", part.Offset, held)
+		return nil, failure.New(failure.WrongAnswer, "snapshot part at offset %d out of sequence: %d bytes received", part.Offset, held)
 	}
 	a.checksum = part.Checksum
 	a.data = append(a.data, part.Data...)
@@ -143,19 +143,19 @@
 	return a.finish()
 }
 
-func (a *Assembly) finish() (*controlpb.Snapshot, error) {
+func (a *SnapshotAssembler) finish() (*controlpb.Snapshot, error) {
 	done := *a
-	*a = Assembly{}
+	*a = SnapshotAssembler{}
 	if xxhash.Sum64(done.data) != done.checksum {
-		return nil, failure.New(failure.WrongAnswer, "snapshot with a wrong checksum")
+		return nil, failure.New(failure.WrongAnswer, "snapshot checksum mismatch")
 	}
 	data := done.data
 	if done.compressed {
-		whole, err := decompress(data)
+		decompressed, err := decompress(data)
 		if err != nil {
 			return nil, err
 		}
-		data = whole
+		data = decompressed
 	}
 	snapshot := &controlpb.Snapshot{}
 	if err := proto.Unmarshal(data, snapshot); err != nil {
--- a/internal/coordination/feed/tail.go
+++ b/internal/coordination/feed/tail.go
@@ -8,8 +8,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// Tail keeps the newest applied entries in memory, bounded in bytes. Indexes
-// in it are consecutive.
+// Tail holds the newest applied entries in memory, up to a limit in bytes. Their
+// indexes are consecutive.
 type Tail struct {
 	mu       sync.Mutex
 	maxBytes int
@@ -20,23 +20,23 @@
 type tailEntry struct {
 	entry *peerpb.LogEntry
 	size  int
-	// packed is the entry with its command compressed; nil for a small one.
+	// packed is the entry with its command compressed, or nil if the entry is small.
 	packed *peerpb.LogEntry
 }
 
-// sent is the entry in the form that a follower reads.
-func (e *tailEntry) sent(reads form) (*peerpb.LogEntry, int) {
-	if reads == packed && e.packed != nil {
+// encoded returns the entry in the encoding that a follower accepts, and its size in bytes.
+func (e *tailEntry) encoded(enc encoding) (*peerpb.LogEntry, int) {
+	if enc == packed && e.packed != nil {
 		return e.packed, proto.Size(e.packed)
 	}
 	return e.entry, e.size
 }
 
-// NewTail makes an empty tail of at most maxBytes of encoded entries.
+// NewTail creates an empty tail of at most maxBytes of encoded entries.
 func NewTail(maxBytes int) *Tail { return &Tail{maxBytes: maxBytes} }
 
-// Append adds applied entries. A gap, as an installed snapshot leaves it,
-// drops what came before.
+// Append adds applied entries. If there is a gap in the indexes, as after the
+// installation of a snapshot, the earlier entries are dropped.
 func (t *Tail) Append(entries ...*peerpb.LogEntry) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -51,14 +51,14 @@
 	t.trim()
 }
 
-// Reset drops everything.
+// Reset drops all entries.
 func (t *Tail) Reset() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.entries, t.bytes = nil, 0
 }
 
-// trim drops the oldest entries until the rest fits.
+// trim drops the oldest entries until the rest fits into maxBytes.
 func (t *Tail) trim() {
 	drop := 0
 	for t.bytes > t.maxBytes {
@@ -69,9 +69,9 @@
 	t.entries = t.entries[drop:]
 }
 
-// After gives entries from after the index, at most maxBytes of them but at
-// least one. It reports false where the tail does not reach back that far.
-func (t *Tail) After(index uint64, maxBytes int, reads form) ([]*peerpb.LogEntry, bool) {
+// After returns the entries after the index: up to maxBytes, but at least one if there
+// is any. It reports false if the tail does not reach back to the index.
+func (t *Tail) After(index uint64, maxBytes int, enc encoding) ([]*peerpb.LogEntry, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.entries) == 0 || index+1 < t.entries[0].entry.Index {
@@ -84,7 +84,7 @@
 	var batch []*peerpb.LogEntry
 	size := 0
 	for _, held := range t.entries[skip:] {
-		entry, bytes := held.sent(reads)
+		entry, bytes := held.encoded(enc)
 		size += bytes
 		if size > maxBytes && len(batch) > 0 {
 			break
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -62,7 +62,7 @@
 	// mu orders batches where two streams overlap during a change of source.
 	mu sync.Mutex
 	// partial is a snapshot whose source was lost before its end; under mu.
-	partial feed.Assembly
+	partial feed.SnapshotAssembler
 	// confirmed is a time of this process's own clock, with its monotonic
 	// part: a step of the wall clock must not make old state look fresh.
 	confirmed atomic.Pointer[time.Time]
--- a/internal/coordination/follower/link.go
+++ b/internal/coordination/follower/link.go
@@ -23,7 +23,7 @@
 	// Owned by the goroutine that receives, under Follower.mu.
 	leader   string
 	path     []string
-	assembly feed.Assembly
+	assembly feed.SnapshotAssembler
 	// bulk is what the stream has brought of snapshots and entries, in bytes.
 	// acknowledge asks for a ping that tells it.
 	bulk        atomic.Uint64
@@ -39,8 +39,8 @@
 // Parts of the freshness bound.
 const (
 	// pingsPerBound is how many pings one bound holds: age grows by up to one
-	// ping's distance at each hop, and feed.MaxPath hops must stay within it.
-	pingsPerBound = 2 * feed.MaxPath
+	// ping's distance at each hop, and feed.MaxPathLength hops must stay within it.
+	pingsPerBound = 2 * feed.MaxPathLength
 	// silentPings is how many pings long a source may say nothing: half the
 	// bound is then left to find another. A cut link gives no error for minutes.
 	silentPings = pingsPerBound / 2
@@ -85,11 +85,11 @@
 
 // takePartial gives what an earlier source left of a snapshot. On a link of
 // 2 Mbit/s a follower that began at zero with each source might never end.
-func (f *Follower) takePartial() feed.Assembly {
+func (f *Follower) takePartial() feed.SnapshotAssembler {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	partial := f.partial
-	f.partial = feed.Assembly{}
+	f.partial = feed.SnapshotAssembler{}
 	return partial
 }
 
