--- a/internal/coordination/echo/echo.go
+++ b/internal/coordination/echo/echo.go
@@ -1,8 +1,8 @@
-// Package echo measures the age of what a peer tells by this process's own
-// clock: pings are numbered and the time of each is kept; an answer names the
-// newest ping that the peer had read, so it is at least as new as that ping.
-// An answer that lay in a buffer while a link was cut or this process was
-// stopped counts as old as it is.
+// Package echo measures the age of a peer's messages by this process's own
+// clock. Pings are numbered and the send time of each is recorded. A message echoes
+// the newest ping that the peer had read, so it is at least as recent as that ping.
+// A message that was buffered while a link was partitioned or this process was
+// paused is therefore not taken to be newer than it is.
 package echo
 
 import (
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// maxTimes bounds the pings whose answer is still of use.
+// maxTimes limits the pings whose send times are kept.
 const maxTimes = 32
 
-// Times keeps when the newest pings were sent. The zero value is empty.
+// Times records when the newest pings were sent. The zero value is ready to use.
 type Times struct {
 	mu    sync.Mutex
 	times []sending
@@ -24,8 +24,8 @@
 	at     time.Time
 }
 
-// Sent notes a ping before it is written.
-func (t *Times) Sent(number uint64, at time.Time) {
+// RecordSent records the send time of a ping. It is called before the ping is written.
+func (t *Times) RecordSent(number uint64, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.times = append(t.times, sending{number: number, at: at})
@@ -34,9 +34,9 @@
 	}
 }
 
-// Answered forgets the pings before the echoed one; that one stays, for later
-// answers may name it too.
-func (t *Times) Answered(number uint64) {
+// Acknowledge removes the pings before the echoed one. The echoed one is kept, since
+// later messages may echo it too.
+func (t *Times) Acknowledge(number uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(t.times) > 1 && t.times[0].number < number {
@@ -44,8 +44,8 @@
 	}
 }
 
-// At is when the ping was sent; it reports false for one that is not kept.
-func (t *Times) At(number uint64) (time.Time, bool) {
+// SentAt returns when the ping was sent, or false if it is not recorded.
+func (t *Times) SentAt(number uint64) (time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, ping := range t.times {
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -188,7 +188,7 @@
 			f := New(Config{Self: relay(1), FreshnessBound: bound}, nil)
 			is.NoErr(f.apply([]*peerpb.LogEntry{entry(1), entry(2)}))
 			l := &link{confirmed: make(chan struct{})}
-			l.pings.Sent(1, time.Now())
+			l.pings.RecordSent(1, time.Now())
 			err := f.take(l, test.batch)
 			is.Equal(err == nil, test.code == "")
 			is.True(err == nil || failure.Is(err, test.code))
--- a/internal/coordination/follower/link.go
+++ b/internal/coordination/follower/link.go
@@ -53,7 +53,7 @@
 		source: source, cancel: cancel, opened: time.Now(), assembly: f.takePartial(),
 		acknowledge: make(chan struct{}, 1), confirmed: make(chan struct{}), ended: make(chan struct{}),
 	}
-	l.pings.Sent(1, time.Now())
+	l.pings.RecordSent(1, time.Now())
 	opening := time.AfterFunc(f.silence(), cancel)
 	stream, err := f.peers.Follow(streamCtx, source, f.request(l))
 	if err != nil || !opening.Stop() {
@@ -125,7 +125,7 @@
 			return
 		}
 		silence.heard()
-		l.pings.Answered(batch.Echo)
+		l.pings.Acknowledge(batch.Echo)
 		l.took(feed.BulkBytes(batch))
 	}
 }
@@ -156,7 +156,7 @@
 		case <-ticker.C:
 		case <-l.acknowledge:
 		}
-		l.pings.Sent(number, time.Now())
+		l.pings.RecordSent(number, time.Now())
 		if err := l.stream.Send(&peerpb.FollowPing{Number: number, Taken: l.bulk.Load()}); err != nil {
 			l.close()
 			return
--- a/internal/coordination/follower/take.go
+++ b/internal/coordination/follower/take.go
@@ -98,7 +98,7 @@
 // commit is not confirmed by it. Only this process's clock is read, and no
 // later confirmation is undone by an earlier one from another source.
 func (f *Follower) confirm(l *link, batch *peerpb.FollowBatch) {
-	sent, ok := l.pings.At(batch.Echo)
+	sent, ok := l.pings.SentAt(batch.Echo)
 	if !ok || f.State().Index() < batch.Commit {
 		return
 	}
--- a/internal/coordination/softstate/watch.go
+++ b/internal/coordination/softstate/watch.go
@@ -38,7 +38,7 @@
 	silent := time.AfterFunc(x.observer.Timeout(peer), cancel)
 	defer silent.Stop()
 	pings := &echo.Times{}
-	pings.Sent(1, time.Now())
+	pings.RecordSent(1, time.Now())
 	incarnation, after := x.registry.Position(peer)
 	wanted, _ := x.renewals()
 	watch := &peerpb.Watch{Instance: x.config.Self, Incarnation: incarnation, After: after, Renewals: wanted}
@@ -63,12 +63,12 @@
 }
 
 func (x *Exchange) take(peer string, batch *peerpb.SoftBatch, pings *echo.Times) error {
-	at, ok := pings.At(batch.Echo)
+	at, ok := pings.SentAt(batch.Echo)
 	if !ok {
 		return failure.New(failure.WrongAnswer, "%s answered ping %d, which is not kept", peer, batch.Echo)
 	}
 	batchesReceived.Add(1)
-	pings.Answered(batch.Echo)
+	pings.Acknowledge(batch.Echo)
 	x.observer.Heard(peer, at)
 	return x.registry.Receive(peer, batch, at)
 }
@@ -90,7 +90,7 @@
 			wanted, _ = x.renewals()
 		}
 		renewals = wanted
-		pings.Sent(number, time.Now())
+		pings.RecordSent(number, time.Now())
 		if stream.Send(&peerpb.WatchPing{Number: number, Renewals: wanted}) != nil {
 			return
 		}
