--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -1,6 +1,6 @@
-// Package follower is an instance without a disk: it follows the log of the
-// nearest instance that has it, applies it, serves it on to other followers
-// and sends commands to the leader.
+// Package follower implements the control node of an instance without a disk. It
+// follows the log from the nearest source that has it, applies the entries, relays the
+// log to other followers and forwards commands to the leader.
 package follower
 
 import (
@@ -37,19 +37,20 @@
 
 // Config of a follower.
 type Config struct {
-	// Self names the instance and its data centre.
+	// Self is the name and the data centre of this instance.
 	Self Candidate
-	// Voters are asked where nothing else is known.
+	// Voters are the instances tried as sources and leaders if no others are known.
 	Voters []string
-	// FreshnessBound is the oldest state on which work is admitted.
+	// FreshnessBound is the maximum age of a state on which work is admitted.
 	FreshnessBound time.Duration
-	// ElectionTimeout is that of the replicas.
+	// ElectionTimeout is the election timeout of the replicas.
 	ElectionTimeout time.Duration
-	// Candidates lists the other instances that are known now.
+	// Candidates lists the other instances that are currently known.
 	Candidates func() []Candidate
-	// Rand drives backoff; the caller seeds it. One goroutine at a time uses it.
+	// Rand is the source of backoff jitter, seeded by the caller. The follower
+	// synchronises its use.
 	Rand *rand.Rand
-	// Logger gets a line for each source gained or lost.
+	// Logger receives an entry whenever a source is gained or lost.
 	Logger *logrus.Logger
 }
 
@@ -59,50 +60,50 @@
 	peers     Peers
 	published *control.PublishedState
 	feed      *feed.Server
-	// mu orders batches where two streams overlap during a change of source.
+	// mu serialises batches when two streams overlap during a change of source.
 	mu sync.Mutex
-	// partial is a snapshot whose source was lost before its end; under mu.
+	// partial is a snapshot whose source was lost before its end. mu guards it.
 	partial feed.SnapshotAssembler
-	// confirmed is a time of this process's own clock, with its monotonic
-	// part: a step of the wall clock must not make old state look fresh.
+	// confirmed is a time of this process's own clock with its monotonic reading,
+	// so that a step of the wall clock does not make old state look fresh.
 	confirmed atomic.Pointer[time.Time]
 	leader    atomic.Pointer[string]
-	// leaderChanged is raised after leader names another one, or none.
+	// leaderChanged is raised after leader has changed, also to none.
 	leaderChanged control.Signal
 	path          atomic.Pointer[[]string]
 	randMu        sync.Mutex
-	// told holds the newest failure of each source that was logged. Only the
-	// goroutine that searches uses it.
-	told map[string]failure.Code
-	// named are the sources that refusals have named. The same goroutine uses it.
-	named map[string]Candidate
+	// loggedFailures holds the code of the last logged failure of each source. Only
+	// the goroutine that searches uses it.
+	loggedFailures map[string]failure.Code
+	// referrals are the sources listed in refusals. Only the same goroutine uses it.
+	referrals map[string]Candidate
 }
 
-// New makes a follower that has applied nothing yet.
+// New creates a follower that has applied nothing yet.
 func New(config Config, peers Peers) *Follower {
-	f := &Follower{config: config, peers: peers, published: control.NewPublishedState(), told: map[string]failure.Code{}, named: map[string]Candidate{}}
+	f := &Follower{config: config, peers: peers, published: control.NewPublishedState(), loggedFailures: map[string]failure.Code{}, referrals: map[string]Candidate{}}
 	f.feed = feed.NewServer(f)
 	f.leader.Store(new(string))
 	f.path.Store(&[]string{config.Self.Name})
 	return f
 }
 
-// State is the newest applied state.
+// State returns the newest applied state.
 func (f *Follower) State() *store.State { return f.published.State() }
 
-// Changed gives a channel that is closed when the state next changes.
+// Changed returns a channel that is closed at the next change of the state.
 func (f *Follower) Changed() <-chan struct{} { return f.published.Changed() }
 
-// Leader names the leader as the source last told it.
+// Leader returns the leader's name as last reported by the source, or "".
 func (f *Follower) Leader() string { return *f.leader.Load() }
 
-// LeaderChanged gives a channel that is closed when another leader is known next.
+// LeaderChanged returns a channel that is closed at the next change of the known leader.
 func (f *Follower) LeaderChanged() <-chan struct{} { return f.leaderChanged.Next() }
 
-// IsLeader is false: only a voter leads.
+// IsLeader returns false: only a voter can lead.
 func (f *Follower) IsLeader() bool { return false }
 
-// Path names the instances from a voter down to this one.
+// Path returns the names of the instances from a voter to this one, inclusive.
 func (f *Follower) Path() []string { return *f.path.Load() }
 
 // Age implements feed.Source.
@@ -118,22 +119,22 @@
 	return age, nil
 }
 
-// Fresh fails while the control state is older than the freshness bound, and
-// until it has been confirmed once after a start.
+// Fresh fails while the control state is older than the freshness bound or has not
+// been confirmed since the start.
 func (f *Follower) Fresh() error {
 	_, err := f.Age()
 	return err
 }
 
-// ServePropose refuses: a command that went from follower to follower could
-// go round for ever.
+// ServePropose always refuses: a command forwarded from follower to follower could
+// circulate forever.
 func (f *Follower) ServePropose(context.Context, *peerpb.Propose) (*controlpb.Result, error) {
 	refusal := failure.New(failure.NotLeader, "this instance follows")
 	refusal.Leader = f.Leader()
 	return nil, refusal
 }
 
-// ServeFollow sends the log on to another follower.
+// ServeFollow relays the log to another follower.
 func (f *Follower) ServeFollow(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error {
 	return f.feed.Serve(ctx, follow, stream)
 }
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -15,148 +15,148 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// A partition cuts an instance off without a reset while a change is accepted
-// elsewhere. Callers of the cut instance must be refused within the freshness
-// bound, for it would admit work under the rules before the change; after the
-// cut heals it has the change before it admits anything.
+// A partition isolates an instance, without a connection reset, while a change is
+// accepted elsewhere. The isolated instance must refuse callers within the freshness
+// bound, or it would admit work under outdated rules. After the partition heals it must
+// apply the change before it admits anything.
 func TestCutInstanceRefusesAndNeverReverts(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		m := newMesh()
+		m := newNetwork()
 		v := newVoter(m, "v")
 		m.setCutBoth("v", "r01", true)
 		f := m.start(ctx, relay(1))
-		pass(time.Second)
+		advance(time.Second)
 		is.True(failure.Is(f.Fresh(), failure.StaleState)) // nothing confirmed yet
 		m.setCutBoth("v", "r01", false)
 		v.change()
-		pass(2 * lastRetry)
+		advance(2 * maxRetryDelay)
 		is.NoErr(f.Fresh())
 		is.Equal(f.State().Revision(), uint64(1))
 
 		m.setCutBoth("v", "r01", true)
 		v.change()
-		pass(bound)
+		advance(bound)
 		is.True(failure.Is(f.Fresh(), failure.StaleState))
 		is.Equal(failure.From(f.Fresh()).NotRun, failure.NotRunTrue)
 		is.Equal(f.State().Revision(), uint64(1))
 
-		pass(time.Hour)
+		advance(time.Hour)
 		m.setCutBoth("v", "r01", false)
-		pass(2 * lastRetry)
+		advance(2 * maxRetryDelay)
 		is.NoErr(f.Fresh())
 		is.Equal(f.State().Revision(), uint64(2))
 	})
 }
 
-// Batches lie in a buffer while a link is slow or the process is stopped, and
-// arrive late; then nothing more comes. Counted from their arrival they would
-// pass for fresh. The state they bring must count as old as the ping that they
-// answer, so the instance refuses a bound after that ping and not later.
+// Batches are buffered while a link is slow or the process is paused, and arrive late;
+// then nothing more arrives. If their age were counted from arrival they would appear
+// fresh. The age must be counted from the ping that they echo, so that the instance
+// refuses callers one freshness bound after that ping.
 func TestLateBatchIsAsOldAsItsPing(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		m := newMesh()
+		m := newNetwork()
 		newVoter(m, "v")
 		f := m.start(ctx, relay(1))
-		pass(10 * time.Second)
-		// Batches are held for a while, then delivered with the way back cut.
+		advance(10 * time.Second)
+		// Batches are delayed, then delivered while the return path is cut.
 		m.setCut("v", "r01", true)
-		pass(bound * 2 / 5)
+		advance(bound * 2 / 5)
 		m.setCut("r01", "v", true)
-		pass(time.Millisecond)
+		advance(time.Millisecond)
 		lastPing := time.Now()
 		m.setCut("v", "r01", false)
-		pass(time.Millisecond)
+		advance(time.Millisecond)
 		is.NoErr(f.Fresh())
-		pass(time.Until(lastPing.Add(bound)))
+		advance(time.Until(lastPing.Add(bound)))
 		is.True(failure.Is(f.Fresh(), failure.StaleState))
 	})
 }
 
-// Relays hand on the age of what they hold. The chain's first link is cut: the
-// last relay hears its neighbour well, and yet must refuse within the bound.
-func TestAgeAddsUpAlongRelays(t *testing.T) {
+// Relays propagate the age of their state. The first link of a chain of relays is cut: the
+// last relay still receives batches from its source but must refuse within the bound.
+func TestAgeAccumulatesAlongRelays(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		m := newMesh()
+		m := newNetwork()
 		v := newVoter(m, "v")
 		first := m.start(ctx, relay(1))
-		pass(time.Second)
+		advance(time.Second)
 		m.setCutBoth("v", "r02", true)
 		m.setCutBoth("v", "r03", true)
 		second := m.start(ctx, relay(2), relay(1))
-		pass(time.Second)
+		advance(time.Second)
 		third := m.start(ctx, relay(3), relay(2))
 		v.change()
-		pass(5 * time.Second)
+		advance(5 * time.Second)
 		is.Equal(third.Path(), []string{"v", "r01", "r02", "r03"})
 		is.NoErr(third.Fresh())
 		is.Equal(third.State().Revision(), uint64(1))
 
 		m.setCutBoth("v", "r01", true)
-		pass(bound)
+		advance(bound)
 		for _, f := range []*Follower{first, second, third} {
 			is.True(failure.Is(f.Fresh(), failure.StaleState))
 		}
 	})
 }
 
-// An instance loses its source and moves to one that is far behind. Readers
-// must keep seeing the newest revision they saw, and once the source has
-// caught up they go on from there.
+// An instance loses its source and switches to one that lags far behind. The revision
+// visible to readers must not decrease, and must advance again once the source has
+// caught up.
 func TestSourceThatIsBehindTakesNothingBack(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		m := newMesh()
-		v, behind := newVoter(m, "v"), newVoter(m, "w")
+		m := newNetwork()
+		v, lagging := newVoter(m, "v"), newVoter(m, "w")
 		f := m.start(ctx, relay(1), Candidate{Name: "w", DataCentre: "dc2", Replica: true})
 		for range 10 {
 			v.change()
 		}
 		m.setCutBoth("w", "r01", true)
-		pass(20 * time.Second)
+		advance(20 * time.Second)
 		is.Equal(f.State().Revision(), uint64(10))
-		behind.change()
+		lagging.change()
 		m.setCutBoth("v", "r01", true)
 		m.setCutBoth("w", "r01", false)
-		pass(20 * time.Second)
+		advance(20 * time.Second)
 		is.Equal(f.Path(), []string{"w", "r01"})
 		is.Equal(f.State().Revision(), uint64(10))
 		for range 11 {
-			behind.change()
+			lagging.change()
 		}
-		pass(time.Second)
+		advance(time.Second)
 		is.Equal(f.State().Revision(), uint64(12))
 	})
 }
 
-// A voter has restarted from a snapshot, so its tail is empty; an instance
-// that starts then gets the state in parts.
-func TestStartsFromSnapshotInParts(t *testing.T) {
+// A voter has restarted from a snapshot, so its tail is empty. An instance that starts
+// then must receive the state as a snapshot in parts.
+func TestStartFromSnapshotInParts(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		m := newMesh()
-		before := newVoter(newMesh(), "v")
+		m := newNetwork()
+		before := newVoter(newNetwork(), "v")
 		for range 50 {
 			before.change()
 		}
 		v := newVoter(m, "v")
 		v.Publish(before.State())
 		f := m.start(ctx, relay(1))
-		pass(time.Second)
+		advance(time.Second)
 		is.NoErr(f.Fresh())
 		is.Equal(f.State().Revision(), uint64(50))
 		v.change()
-		pass(time.Second)
+		advance(time.Second)
 		is.Equal(f.State().Revision(), uint64(51))
 	})
 }
 
-// Batches may overlap while two sources are followed, come short of the commit
-// that they name, or come from a source that lost its place. Readers see
-// neither an older state nor a fresh one that lacks what was committed.
-func TestTake(t *testing.T) {
+// Batches may overlap while two sources are followed, end before the commit index that
+// they carry, or have gaps. Readers must see neither an older state nor a state reported
+// as fresh that lacks committed entries.
+func TestApplyBatch(t *testing.T) {
 	entry := func(index uint64) *peerpb.LogEntry { return &peerpb.LogEntry{Index: index} }
 	snapshot := func(index uint64) *peerpb.SnapshotPart {
 		data, _ := proto.Marshal(&controlpb.Snapshot{Index: index})
@@ -170,17 +170,17 @@
 		index uint64
 		fresh bool
 	}{
-		"next entries":           {&peerpb.FollowBatch{Echo: 1, Commit: 4, Entries: []*peerpb.LogEntry{entry(3), entry(4)}}, "", 4, true},
-		"overlap":                {&peerpb.FollowBatch{Echo: 1, Commit: 3, Entries: []*peerpb.LogEntry{entry(1), entry(2), entry(3)}}, "", 3, true},
-		"gap":                    {&peerpb.FollowBatch{Echo: 1, Commit: 4, Entries: []*peerpb.LogEntry{entry(4)}}, failure.WrongAnswer, 2, false},
-		"more is committed":      {&peerpb.FollowBatch{Echo: 1, Commit: 9, Entries: []*peerpb.LogEntry{entry(3)}}, "", 3, false},
-		"no such ping":           {&peerpb.FollowBatch{Echo: 7, Commit: 2}, "", 2, false},
-		"as old as the bound":    {&peerpb.FollowBatch{Echo: 1, Commit: 2, AgeMs: bound.Milliseconds() + 1}, "", 2, false},
-		"snapshot":               {&peerpb.FollowBatch{Echo: 1, Commit: 9, Snapshot: snapshot(9)}, "", 9, true},
-		"older snapshot":         {&peerpb.FollowBatch{Echo: 1, Commit: 1, Snapshot: snapshot(1)}, "", 2, true},
-		"snapshot, wrong sum":    {&peerpb.FollowBatch{Echo: 1, Commit: 9, Snapshot: wrongSum}, failure.WrongAnswer, 2, false},
-		"source follows us":      {&peerpb.FollowBatch{Echo: 1, Commit: 2, Path: []string{"v", "r01", "r02"}}, failure.NotReady, 2, false},
-		"entries before a place": {&peerpb.FollowBatch{Echo: 1, Commit: 2, Entries: []*peerpb.LogEntry{entry(1)}}, "", 2, true},
+		"next entries":            {&peerpb.FollowBatch{Echo: 1, Commit: 4, Entries: []*peerpb.LogEntry{entry(3), entry(4)}}, "", 4, true},
+		"overlap":                 {&peerpb.FollowBatch{Echo: 1, Commit: 3, Entries: []*peerpb.LogEntry{entry(1), entry(2), entry(3)}}, "", 3, true},
+		"gap":                     {&peerpb.FollowBatch{Echo: 1, Commit: 4, Entries: []*peerpb.LogEntry{entry(4)}}, failure.WrongAnswer, 2, false},
+		"commit not reached":      {&peerpb.FollowBatch{Echo: 1, Commit: 9, Entries: []*peerpb.LogEntry{entry(3)}}, "", 3, false},
+		"unknown ping":            {&peerpb.FollowBatch{Echo: 7, Commit: 2}, "", 2, false},
+		"older than the bound":    {&peerpb.FollowBatch{Echo: 1, Commit: 2, AgeMs: bound.Milliseconds() + 1}, "", 2, false},
+		"snapshot":                {&peerpb.FollowBatch{Echo: 1, Commit: 9, Snapshot: snapshot(9)}, "", 9, true},
+		"older snapshot":          {&peerpb.FollowBatch{Echo: 1, Commit: 1, Snapshot: snapshot(1)}, "", 2, true},
+		"snapshot, bad checksum":  {&peerpb.FollowBatch{Echo: 1, Commit: 9, Snapshot: wrongSum}, failure.WrongAnswer, 2, false},
+		"cycle of followers":      {&peerpb.FollowBatch{Echo: 1, Commit: 2, Path: []string{"v", "r01", "r02"}}, failure.NotReady, 2, false},
+		"entries already applied": {&peerpb.FollowBatch{Echo: 1, Commit: 2, Entries: []*peerpb.LogEntry{entry(1)}}, "", 2, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -189,7 +189,7 @@
 			is.NoErr(f.apply([]*peerpb.LogEntry{entry(1), entry(2)}))
 			l := &link{confirmed: make(chan struct{})}
 			l.pings.RecordSent(1, time.Now())
-			err := f.take(l, test.batch)
+			err := f.applyBatch(l, test.batch)
 			is.Equal(err == nil, test.code == "")
 			is.True(err == nil || failure.Is(err, test.code))
 			is.Equal(f.State().Index(), test.index)
@@ -198,16 +198,16 @@
 	}
 }
 
-// Many instances of one data centre start at once. No instance serves more
-// than its share, the others form a tree below it, and all come to be fresh.
-// Only one follows a voter in another data centre.
+// Many instances of one data centre start at once. No instance serves more followers than
+// its limit, the others form a tree below, and all become fresh. If the voter is in
+// another data centre, only one instance follows it directly.
 func TestManyFollowersFormATree(t *testing.T) {
 	tests := map[string]struct {
 		voter  string
 		direct int
 	}{
 		"voter in the data centre": {"dc1", feed.MaxFollowers},
-		"voter in another":         {"dc2", 1},
+		"voter in another one":     {"dc2", 1},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -220,7 +220,7 @@
 
 func directFollowers(t *testing.T, ctx context.Context, voterCentre string) int {
 	is := is.New(t)
-	m := newMesh()
+	m := newNetwork()
 	v := newVoter(m, "v")
 	known := []Candidate{{Name: "v", DataCentre: voterCentre, Replica: true}}
 	for i := range 40 {
@@ -230,9 +230,9 @@
 	for _, self := range known[1:] {
 		followers = append(followers, m.start(ctx, self, known...))
 	}
-	pass(2 * improveEvery)
+	advance(2 * improveInterval)
 	v.change()
-	pass(time.Second)
+	advance(time.Second)
 	direct := 0
 	for _, f := range followers {
 		is.NoErr(f.Fresh())
--- a/internal/coordination/follower/forward_test.go
+++ b/internal/coordination/follower/forward_test.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// callersTime is what a caller that waits for 3 s leaves a command.
-	callersTime = 2850 * time.Millisecond
-	// election is how long after a freeze the source names another leader.
+	// callerTimeout is the time left for a command of a caller with a timeout of 3 s.
+	callerTimeout = 2850 * time.Millisecond
+	// election is the time from a freeze until the source names another leader.
 	election = 600 * time.Millisecond
-	// resendPause is the longest pause before the first try after a failure.
-	resendPause = firstRetry
-	// news is how long a follower waits for its source's next word.
-	news = bound / pingsPerBound
+	// resendPause is the maximum delay before the first attempt after a failure.
+	resendPause = minRetryDelay
+	// pingInterval is the maximum time between two batches from the source.
+	pingInterval = bound / pingsPerBound
 )
 
 func submission() *controlpb.Command {
@@ -32,41 +32,41 @@
 	return &controlpb.Command{Op: &controlpb.Command_Drain{Drain: &controlpb.SetDrain{Upstream: "u", Drained: true}}}
 }
 
-// front is a follower of v, which names the leader.
-type front struct {
+// forwarder is a follower of v, which reports the leader.
+type forwarder struct {
 	*Follower
-	mesh   *mesh
-	source *voter
+	network *network
+	source  *voter
 }
 
-func newFront(ctx context.Context, leader string) *front {
-	m := newMesh()
-	f := &front{mesh: m, source: newVoter(m, "v")}
-	f.source.led.Store(&leader)
+func newForwarder(ctx context.Context, leader string) *forwarder {
+	m := newNetwork()
+	f := &forwarder{network: m, source: newVoter(m, "v")}
+	f.source.otherLeader.Store(&leader)
 	m.reply = func(string) (*peerpb.Reply, error) {
 		return &peerpb.Reply{Body: &peerpb.Reply_Result{Result: &controlpb.Result{Index: 1}}}, nil
 	}
 	f.Follower = m.start(ctx, relay(1))
-	pass(time.Second)
+	advance(time.Second)
 	return f
 }
 
-// slow has an instance work on each call for a while.
-func (f *front) slow(instance string, takes time.Duration) {
-	f.mesh.update(func() { f.mesh.takes[instance] = takes })
+// delayCalls makes an instance take that long for each call.
+func (f *forwarder) delayCalls(instance string, delay time.Duration) {
+	f.network.update(func() { f.network.callDelays[instance] = delay })
 }
 
-func (f *front) freeze(instance string) { f.slow(instance, time.Hour) }
+func (f *forwarder) freeze(instance string) { f.delayCalls(instance, time.Hour) }
 
-// elect has the source name another leader after a while.
-func (f *front) elect(leader string, after time.Duration) {
-	time.AfterFunc(after, func() { f.source.led.Store(&leader) })
+// elect makes the source report another leader after the delay.
+func (f *forwarder) elect(leader string, after time.Duration) {
+	time.AfterFunc(after, func() { f.source.otherLeader.Store(&leader) })
 }
 
-// refuse has an instance say that another one leads.
-func (f *front) refuse(instance, leader string) {
-	accept := f.mesh.reply
-	f.mesh.reply = func(to string) (*peerpb.Reply, error) {
+// refuse makes an instance refuse calls and name another one as the leader.
+func (f *forwarder) refuse(instance, leader string) {
+	accept := f.network.reply
+	f.network.reply = func(to string) (*peerpb.Reply, error) {
 		if to != instance {
 			return accept(to)
 		}
@@ -76,104 +76,105 @@
 	}
 }
 
-// proposeFor proposes with a caller's time and tells how long that took.
-func (f *front) proposeFor(ctx context.Context, command *controlpb.Command) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, callersTime)
+// propose proposes with the timeout of a caller and returns how long that took.
+func (f *forwarder) propose(ctx context.Context, command *controlpb.Command) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, callerTimeout)
 	defer cancel()
 	began := time.Now()
 	_, err := f.Propose(ctx, command)
 	return time.Since(began), err
 }
 
-func (f *front) called() []string {
-	f.mesh.mu.Lock()
-	defer f.mesh.mu.Unlock()
-	return f.mesh.called
+func (f *forwarder) called() []string {
+	f.network.mu.Lock()
+	defer f.network.mu.Unlock()
+	return f.network.called
 }
 
-// A front has sent a caller's workflow to the leader, whose machine stands still and
-// never answers. Its source names the leader that was elected 0.6 s later. The caller
-// is answered with that news, not told at its deadline that the outcome is unknown.
+// A follower has forwarded a caller's workflow to the leader, which is paused and never
+// answers. Its source names the leader elected 0.6 s later. The command must then be
+// resent there, instead of failing with unknown outcome at the caller's deadline.
 func TestCommandLeavesAFrozenLeaderWithTheNews(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		f := newFront(ctx, "old")
+		f := newForwarder(ctx, "old")
 		f.freeze("old")
 		f.elect("new", election)
-		took, err := f.proposeFor(ctx, submission())
+		took, err := f.propose(ctx, submission())
 		t.Logf("took %s", took)
 		is.NoErr(err)
 		is.Equal(f.called(), []string{"old", "new"})
-		is.True(took <= election+news+resendPause)
+		is.True(took <= election+pingInterval+resendPause)
 	})
 }
 
-// As before, but the command may not run twice: it may have run at the frozen leader.
-// The caller waits for its whole time, and hears that the outcome is unknown.
-func TestPlainCommandIsSentOnce(t *testing.T) {
+// As above, but the command is not idempotent and may have run at the frozen leader. It
+// must not be resent: the caller waits for its full timeout and receives an unknown outcome.
+func TestNonIdempotentCommandIsSentOnce(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		f := newFront(ctx, "old")
+		f := newForwarder(ctx, "old")
 		f.freeze("old")
 		f.elect("new", election)
-		took, err := f.proposeFor(ctx, drain())
+		took, err := f.propose(ctx, drain())
 		is.Equal(failure.From(err).NotRun, failure.NotRunUnknown)
-		is.Equal(took, callersTime)
+		is.Equal(took, callerTimeout)
 		is.Equal(f.called(), []string{"old"})
 	})
 }
 
-// The leader's machine stands still and the front's source names it on and on: it has
-// not heard of the next one. The front asks a voter after the time of an election and
-// its news; that one names the next leader. The voter that is asked must not be the
-// frozen one again, or the caller's time would go there.
+// The leader is paused, and the follower's source keeps naming it because it does not know
+// of the next one. After an election timeout and the time for its result to arrive the
+// follower asks a voter, which names the next leader. That voter must not be the frozen
+// leader, or the rest of the caller's timeout would be spent there.
 func TestCommandLeavesAFrozenLeaderWithoutNews(t *testing.T) {
 	for name, voters := range map[string][]string{"voters": {"v"}, "frozen voter first": {"old", "v"}} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context) {
 				is := is.New(t)
-				f := newFront(ctx, "old")
+				f := newForwarder(ctx, "old")
 				f.Follower.config.Voters = voters
 				f.freeze("old")
 				f.refuse("v", "new")
-				took, err := f.proposeFor(ctx, submission())
+				took, err := f.propose(ctx, submission())
 				t.Logf("took %s", took)
 				is.NoErr(err)
 				is.Equal(f.called(), []string{"old", "v", "new"})
-				is.True(took <= 3*electionTimeout+resendPause+lastRetry)
+				is.True(took <= 3*electionTimeout+resendPause+maxRetryDelay)
 			})
 		})
 	}
 }
 
-// The asked instance names a leader that this front's source has not named yet. While
-// that one works on the command the source's news come: the try goes on, since the
-// leader that is known now is the one asked. Ended, it would be sent there twice.
-func TestTryAtTheLeaderThatIsNewsGoesOn(t *testing.T) {
+// A refusal names a leader that the follower's source has not named yet. While that leader
+// works on the command, the source names it too. The attempt must continue, since it is
+// already at the new leader; if it were cancelled, the command would be sent there twice.
+func TestAttemptAtNewlyKnownLeaderContinues(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		f := newFront(ctx, "old")
+		f := newForwarder(ctx, "old")
 		f.refuse("old", "new")
-		f.slow("new", election)
+		f.delayCalls("new", election)
 		f.elect("new", election/2)
-		_, err := f.proposeFor(ctx, submission())
+		_, err := f.propose(ctx, submission())
 		is.NoErr(err)
 		is.Equal(f.called(), []string{"old", "new"})
 	})
 }
 
-// All that could lead stands still. The first try may run when its machine goes on,
-// and what refuses later as surely not run speaks of its own try only: the caller must
-// hear "unknown", or it would take a workflow for refused that runs later.
+// No instance that could lead answers. The first attempt may still run when the leader
+// resumes, and a later refusal with "did not run" applies only to its own attempt. The
+// caller must receive an unknown outcome, or it would treat a workflow as refused that
+// runs later.
 func TestUnknownOutcomeOfAFrontStaysUnknown(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
-		f := newFront(ctx, "old")
+		f := newForwarder(ctx, "old")
 		f.freeze("old")
 		f.refuse("v", "")
-		_, err := f.proposeFor(ctx, submission())
+		_, err := f.propose(ctx, submission())
 		is.Equal(failure.From(err).NotRun, failure.NotRunUnknown)
 		is.True(len(f.called()) > 2)
-		is.True(!slices.Contains(f.called()[1:], "old")) // the time goes to those that answer
+		is.True(!slices.Contains(f.called()[1:], "old")) // the remaining time is spent on instances that answer
 	})
 }
--- a/internal/coordination/follower/link.go
+++ b/internal/coordination/follower/link.go
@@ -20,12 +20,12 @@
 	cancel context.CancelFunc
 	pings  echo.Times
 	opened time.Time
-	// Owned by the goroutine that receives, under Follower.mu.
+	// leader, path and assembly are guarded by Follower.mu.
 	leader   string
 	path     []string
 	assembly feed.SnapshotAssembler
-	// bulk is what the stream has brought of snapshots and entries, in bytes.
-	// acknowledge asks for a ping that tells it.
+	// bulk counts the bytes of snapshot parts and entries received on the stream.
+	// acknowledge triggers a ping that reports it.
 	bulk        atomic.Uint64
 	acknowledge chan struct{}
 	// confirmed is closed when the first batch confirms the state.
@@ -38,15 +38,17 @@
 
 // Parts of the freshness bound.
 const (
-	// pingsPerBound is how many pings one bound holds: age grows by up to one
-	// ping's distance at each hop, and feed.MaxPathLength hops must stay within it.
+	// pingsPerBound is the number of pings sent per freshness bound: each hop adds up
+	// to one ping interval to the age, and feed.MaxPathLength hops must stay within the
+	// bound.
 	pingsPerBound = 2 * feed.MaxPathLength
-	// silentPings is how many pings long a source may say nothing: half the
-	// bound is then left to find another. A cut link gives no error for minutes.
-	silentPings = pingsPerBound / 2
+	// timeoutPings is the number of ping intervals after which a source that sends
+	// nothing is given up: half of the bound is then left to find another source. A
+	// partitioned link reports no error for minutes.
+	timeoutPings = pingsPerBound / 2
 )
 
-// attach opens a stream and waits until it confirms the state.
+// attach opens a stream from the source and waits until it confirms the state.
 func (f *Follower) attach(ctx context.Context, source string) (*link, error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	l := &link{
@@ -54,7 +56,7 @@
 		acknowledge: make(chan struct{}, 1), confirmed: make(chan struct{}), ended: make(chan struct{}),
 	}
 	l.pings.RecordSent(1, time.Now())
-	opening := time.AfterFunc(f.silence(), cancel)
+	opening := time.AfterFunc(f.idleTimeout(), cancel)
 	stream, err := f.peers.Follow(streamCtx, source, f.request(l))
 	if err != nil || !opening.Stop() {
 		cancel()
@@ -83,8 +85,8 @@
 	}
 }
 
-// takePartial gives what an earlier source left of a snapshot. On a link of
-// 2 Mbit/s a follower that began at zero with each source might never end.
+// takePartial returns the partial snapshot received from an earlier source and clears it.
+// On a link of 2 Mbit/s a follower that started over with each source might never finish.
 func (f *Follower) takePartial() feed.SnapshotAssembler {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,7 +95,7 @@
 	return partial
 }
 
-// keepPartial keeps an unfinished snapshot of a link that has ended.
+// keepPartial saves the unfinished snapshot of a link that has ended.
 func (f *Follower) keepPartial(l *link) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,37 +104,37 @@
 	}
 }
 
-// held describes the unfinished snapshot that is kept; nil where there is none.
+// held describes the saved unfinished snapshot, or is nil if there is none.
 func (f *Follower) held() *peerpb.HeldSnapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.partial.Held()
 }
 
-// receive takes batches until the stream ends or stays silent.
+// receive applies batches until the stream ends or the idle timeout expires.
 func (f *Follower) receive(l *link) {
 	defer close(l.ended)
 	defer l.close()
-	silence := watchSilence(l, f.silence())
-	defer silence.stop()
+	idleTimeout := startIdleTimer(l, f.idleTimeout())
+	defer idleTimeout.stop()
 	for {
 		batch, err := l.stream.Receive()
 		if err == nil {
-			err = f.take(l, batch)
+			err = f.applyBatch(l, batch)
 		}
 		if err != nil {
 			l.err = err
 			return
 		}
-		silence.heard()
+		idleTimeout.reset()
 		l.pings.Acknowledge(batch.Echo)
-		l.took(feed.BulkBytes(batch))
+		l.countBulk(feed.BulkBytes(batch))
 	}
 }
 
-// took counts bulk and has it acknowledged once a batch's worth has come, or the
-// source's window would stay full until the next ping.
-func (l *link) took(bytes uint64) {
+// countBulk adds to bulk and triggers an acknowledgement after every feed.MaxBatchBytes,
+// or the source's window would stay full until the next ping.
+func (l *link) countBulk(bytes uint64) {
 	before := l.bulk.Load()
 	l.bulk.Store(before + bytes)
 	if before/feed.MaxBatchBytes == (before+bytes)/feed.MaxBatchBytes {
@@ -144,8 +146,8 @@
 	}
 }
 
-// ping asks for the age of the source's state at a fixed pace, and tells what was
-// taken.
+// ping requests the age of the source's state at a fixed interval and acknowledges the
+// bytes received.
 func (f *Follower) ping(ctx context.Context, l *link) {
 	ticker := time.NewTicker(f.config.FreshnessBound / pingsPerBound)
 	defer ticker.Stop()
@@ -164,8 +166,8 @@
 	}
 }
 
-func (f *Follower) silence() time.Duration {
-	return f.config.FreshnessBound * silentPings / pingsPerBound
+func (f *Follower) idleTimeout() time.Duration {
+	return f.config.FreshnessBound * timeoutPings / pingsPerBound
 }
 
 func (l *link) close() {
--- a/internal/coordination/follower/members.go
+++ b/internal/coordination/follower/members.go
@@ -8,8 +8,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// ServeReplica tells a replica that wants to found a cluster whether one
-// exists: a follower that holds state has it from one.
+// ServeReplica tells a replica that is about to bootstrap a cluster whether one
+// exists: a follower that has state received it from a cluster.
 func (f *Follower) ServeReplica(_ context.Context, call *peerpb.Call) (*peerpb.Reply, error) {
 	if call.GetIntroduce() == nil {
 		refusal := failure.New(failure.NotLeader, "this instance follows")
@@ -20,7 +20,7 @@
 	return &peerpb.Reply{Body: &peerpb.Reply_Introduction{Introduction: introduction}}, nil
 }
 
-// ChangeMembers sends an operator's change of members to the leader.
+// ChangeMembers forwards an operator's membership change to the leader.
 func (f *Follower) ChangeMembers(ctx context.Context, change *peerpb.ChangeMembers) error {
 	leader := f.Leader()
 	if leader == "" {
@@ -30,7 +30,7 @@
 	return err
 }
 
-// Role is empty: a follower is no member.
+// Role is empty: a follower is not a member of the consensus group.
 func (f *Follower) Role() string { return "" }
 
 // Deliver drops a consensus message: a follower has no replica.
--- a/internal/coordination/follower/mesh_test.go
+++ b/internal/coordination/follower/mesh_test.go
@@ -27,71 +27,71 @@
 	electionTimeout = 400 * time.Millisecond
 )
 
-// mesh is a network in memory. A cut direction holds what is sent until it
-// heals, as TCP does; nobody is told.
-type mesh struct {
+// network is an in-memory network. As with TCP, a cut direction delays messages until it
+// heals, and neither end receives an error.
+type network struct {
 	mu      sync.Mutex
 	changed chan struct{}
 	nodes   map[string]serving
 	cut     map[[2]string]bool
-	// rates are the links of instances in bytes a second, the same both ways;
-	// without one a link takes no time. free is when a way into or out of one is
-	// free again.
-	rates map[string]float64
-	free  map[way]time.Time
-	// sent counts the bytes of batches by sender.
+	// rates are the link rates of instances in bytes per second, the same in both
+	// directions; a link without a rate has no delay. freeAt is when a direction of a
+	// link becomes idle.
+	rates  map[string]float64
+	freeAt map[direction]time.Time
+	// sent counts the bytes sent on streams by sender.
 	sent map[string]int
 	// reply answers calls.
 	reply func(to string) (*peerpb.Reply, error)
-	// takes is how long instances work on a call before they answer; called are all
-	// that were called.
-	takes  map[string]time.Duration
-	called []string
+	// callDelays are the times that instances take to answer a call; called lists all
+	// instances called, in order.
+	callDelays map[string]time.Duration
+	called     []string
 }
 
 type serving interface {
 	ServeFollow(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error
 }
 
-func newMesh() *mesh {
-	return &mesh{
+func newNetwork() *network {
+	return &network{
 		changed: make(chan struct{}), nodes: map[string]serving{}, cut: map[[2]string]bool{},
-		rates: map[string]float64{}, free: map[way]time.Time{}, sent: map[string]int{},
-		takes: map[string]time.Duration{},
+		rates: map[string]float64{}, freeAt: map[direction]time.Time{}, sent: map[string]int{},
+		callDelays: map[string]time.Duration{},
 	}
 }
 
-// way is one direction of an instance's link.
-type way struct {
+// direction is one direction of an instance's link.
+type direction struct {
 	instance string
 	out      bool
 }
 
-func (m *mesh) sentBy(name string) int {
+func (m *network) sentBy(name string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.sent[name]
 }
 
-// carry gives when a message that is sent now has passed both links. The caller
-// holds the lock.
-func (m *mesh) carry(from, to string, size int) time.Time {
+// deliveryTime returns when a message sent now has passed the links of both instances,
+// and reserves them until then. The caller holds the lock.
+func (m *network) deliveryTime(from, to string, size int) time.Time {
 	at := time.Now()
-	for _, w := range []way{{from, true}, {to, false}} {
+	for _, w := range []direction{{from, true}, {to, false}} {
 		rate := m.rates[w.instance]
 		if rate == 0 {
 			continue
 		}
-		if m.free[w].After(at) {
-			at = m.free[w]
+		if m.freeAt[w].After(at) {
+			at = m.freeAt[w]
 		}
 		at = at.Add(time.Duration(float64(size) / rate * float64(time.Second)))
-		m.free[w] = at
+		m.freeAt[w] = at
 	}
 	return at
 }
 
-func (m *mesh) update(change func()) {
+func (m *network) update(change func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change()
@@ -99,17 +99,18 @@
 	m.changed = make(chan struct{})
 }
 
-func (m *mesh) setCut(from, to string, cut bool) {
+func (m *network) setCut(from, to string, cut bool) {
 	m.update(func() { m.cut[[2]string{from, to}] = cut })
 }
 
-func (m *mesh) setCutBoth(a, b string, cut bool) {
+func (m *network) setCutBoth(a, b string, cut bool) {
 	m.setCut(a, b, cut)
 	m.setCut(b, a, cut)
 }
 
-// await waits until ready, asked under the lock, reports true.
-func (m *mesh) await(ctx context.Context, ready func() bool) bool {
+// await waits until ready returns true, which is called under the lock. It returns false
+// if ctx ends first.
+func (m *network) await(ctx context.Context, ready func() bool) bool {
 	for {
 		m.mu.Lock()
 		done, changed := ready(), m.changed
@@ -127,27 +128,27 @@
 
 // wire is one direction of a stream.
 type wire[T any] struct {
-	mesh *mesh
-	ctx  context.Context
-	way  [2]string
-	held []carried[T]
-	end  error
-	// arrived counts the bytes of what was taken.
+	network   *network
+	ctx       context.Context
+	direction [2]string
+	held      []queued[T]
+	end       error
+	// arrived counts the bytes of the messages received.
 	arrived uint64
 }
 
-// carried is a message on its way.
-type carried[T any] struct {
+// queued is a message in flight.
+type queued[T any] struct {
 	message T
 	size    int
 	sent    time.Time
 	due     time.Time
 }
 
-// sendBuffer is what a sender may have on its way before it waits, as TCP does.
+// sendBuffer is the number of bytes in flight at which a sender blocks, as with TCP.
 const sendBuffer = 512 << 10
 
-func (w *wire[T]) underWay() (bytes int) {
+func (w *wire[T]) inFlight() (bytes int) {
 	for _, c := range w.held {
 		bytes += c.size
 	}
@@ -159,41 +160,41 @@
 		return failure.New(failure.Unreachable, "closed")
 	}
 	size := proto.Size(any(message).(proto.Message))
-	if !w.mesh.await(w.ctx, func() bool { return w.underWay() < sendBuffer }) {
+	if !w.network.await(w.ctx, func() bool { return w.inFlight() < sendBuffer }) {
 		return failure.New(failure.Unreachable, "closed")
 	}
-	w.mesh.update(func() {
-		due := w.mesh.carry(w.way[0], w.way[1], size)
-		w.mesh.sent[w.way[0]] += size
-		w.held = append(w.held, carried[T]{message: message, size: size, sent: time.Now(), due: due})
+	w.network.update(func() {
+		due := w.network.deliveryTime(w.direction[0], w.direction[1], size)
+		w.network.sent[w.direction[0]] += size
+		w.held = append(w.held, queued[T]{message: message, size: size, sent: time.Now(), due: due})
 	})
 	return nil
 }
 
-// bytes counts what has come, and of the next message the part that its time on
-// the link says.
+// bytes returns the number of bytes received, including the part of the next message that
+// has arrived by now at the rate of the link.
 func (w *wire[T]) bytes() uint64 {
-	w.mesh.mu.Lock()
-	defer w.mesh.mu.Unlock()
-	if w.mesh.cut[w.way] || len(w.held) == 0 {
+	w.network.mu.Lock()
+	defer w.network.mu.Unlock()
+	if w.network.cut[w.direction] || len(w.held) == 0 {
 		return w.arrived
 	}
 	next, now := w.held[0], time.Now()
 	if !now.Before(next.due) {
 		return w.arrived + uint64(next.size)
 	}
-	rate := w.mesh.rates[w.way[1]]
+	rate := w.network.rates[w.direction[1]]
 	missing := next.due.Sub(now).Seconds() * rate
 	return w.arrived + uint64(max(0, float64(next.size)-missing))
 }
 
 func (w *wire[T]) take() (message T, err error) {
-	ready := func() bool { return !w.mesh.cut[w.way] && (len(w.held) > 0 || w.end != nil) }
-	if !w.mesh.await(w.ctx, ready) {
+	ready := func() bool { return !w.network.cut[w.direction] && (len(w.held) > 0 || w.end != nil) }
+	if !w.network.await(w.ctx, ready) {
 		return message, failure.New(failure.Unreachable, "closed")
 	}
-	w.arrive()
-	w.mesh.update(func() {
+	w.awaitArrival()
+	w.network.update(func() {
 		if len(w.held) == 0 {
 			err = w.end
 			return
@@ -205,18 +206,18 @@
 	return message, err
 }
 
-// arrive waits until the next message has passed the links.
+// awaitArrival waits until the next message has passed the links.
 //
-// One that is due waits on no timer: selecting on a timer that has run out, in a
-// bubble and with the race detector, now and then ends the whole process within the
-// runtime (selectgo, maybeRunChan, SIGSEGV in the detector; 6 of 29 runs of the package).
-func (w *wire[T]) arrive() {
-	w.mesh.mu.Lock()
+// It uses no timer for a message that is already due: in a synctest bubble with the race
+// detector, selecting on an expired timer occasionally crashes the process in the runtime
+// (selectgo, maybeRunChan, SIGSEGV in the detector; seen in 6 of 29 runs of the package).
+func (w *wire[T]) awaitArrival() {
+	w.network.mu.Lock()
 	var wait time.Duration
 	if len(w.held) > 0 {
 		wait = time.Until(w.held[0].due)
 	}
-	w.mesh.mu.Unlock()
+	w.network.mu.Unlock()
 	if wait <= 0 {
 		return
 	}
@@ -244,33 +245,33 @@
 	return cut[[2]string{e.name, to}] || cut[[2]string{to, e.name}]
 }
 
-// endpoint is one instance's side of the mesh.
+// endpoint is one instance's access to the network.
 type endpoint struct {
-	*mesh
+	*network
 	name string
 }
 
 func (e endpoint) Follow(ctx context.Context, to string, follow *peerpb.Follow) (control.SourceStream, error) {
 	if !e.await(ctx, func() bool { return !e.both(to, e.cut) && e.nodes[to] != nil }) {
-		return nil, failure.New(failure.Unreachable, "no way to %s", to)
+		return nil, failure.New(failure.Unreachable, "no route to %s", to)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	s := &stream{cancel: cancel}
-	s.pings = &wire[*peerpb.FollowPing]{mesh: e.mesh, ctx: ctx, way: [2]string{e.name, to}}
-	s.batches = &wire[*peerpb.FollowBatch]{mesh: e.mesh, ctx: ctx, way: [2]string{to, e.name}}
+	s.pings = &wire[*peerpb.FollowPing]{network: e.network, ctx: ctx, direction: [2]string{e.name, to}}
+	s.batches = &wire[*peerpb.FollowBatch]{network: e.network, ctx: ctx, direction: [2]string{to, e.name}}
 	e.mu.Lock()
 	node := e.nodes[to]
 	e.mu.Unlock()
 	go func() {
 		err := node.ServeFollow(ctx, follow, servingEnd{s})
-		e.update(func() { s.batches.end = reasonOf(err) })
+		e.update(func() { s.batches.end = streamError(err) })
 	}()
 	return s, nil
 }
 
-// reasonOf is what a follower hears when its stream ends: the refusal itself, as the
-// transport carries it.
-func reasonOf(err error) error {
+// streamError returns the error that a follower receives when its stream ends: the refusal
+// itself, as with the real transport.
+func streamError(err error) error {
 	if err == nil {
 		return failure.New(failure.Unreachable, "ended")
 	}
@@ -279,29 +280,29 @@
 
 func (e endpoint) Call(ctx context.Context, to string, _ *peerpb.Call) (*peerpb.Reply, error) {
 	if !e.await(ctx, func() bool { return !e.both(to, e.cut) }) {
-		return nil, failure.New(failure.Unreachable, "no way to %s", to)
+		return nil, failure.New(failure.Unreachable, "no route to %s", to)
 	}
-	takes := time.Duration(0)
+	delay := time.Duration(0)
 	e.update(func() {
-		takes = e.takes[to]
+		delay = e.callDelays[to]
 		e.called = append(e.called, to)
 	})
-	if takes > 0 && !control.Pause(ctx, takes) {
+	if delay > 0 && !control.Pause(ctx, delay) {
 		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "answer of %s", to)
 	}
 	return e.reply(to)
 }
 
-// voter is a leader whose log is in memory.
+// voter is a leader with its log in memory.
 type voter struct {
 	*control.PublishedState
 	name string
 	feed *feed.Server
-	// led names the leader where that is another one.
-	led atomic.Pointer[string]
+	// otherLeader is the name of the leader if that is another instance.
+	otherLeader atomic.Pointer[string]
 }
 
-func newVoter(m *mesh, name string) *voter {
+func newVoter(m *network, name string) *voter {
 	v := &voter{PublishedState: control.NewPublishedState(), name: name}
 	v.feed = feed.NewServer(v)
 	m.nodes[name] = v
@@ -312,8 +313,8 @@
 func (v *voter) Path() []string              { return []string{v.name} }
 
 func (v *voter) Leader() string {
-	if led := v.led.Load(); led != nil {
-		return *led
+	if other := v.otherLeader.Load(); other != nil {
+		return *other
 	}
 	return v.name
 }
@@ -322,7 +323,7 @@
 	return v.feed.Serve(ctx, follow, stream)
 }
 
-// change accepts one change of the declarations: revision and index grow by one.
+// change accepts one change of the declarations: revision and index increase by one.
 func (v *voter) change() { v.apply(changeOf(v.State())) }
 
 func (v *voter) apply(command *controlpb.Command) {
@@ -342,7 +343,7 @@
 }
 
 // start runs a follower until ctx ends.
-func (m *mesh) start(ctx context.Context, self Candidate, candidates ...Candidate) *Follower {
+func (m *network) start(ctx context.Context, self Candidate, candidates ...Candidate) *Follower {
 	f := New(Config{
 		Self:            self,
 		Voters:          []string{"v"},
@@ -350,20 +351,20 @@
 		ElectionTimeout: electionTimeout,
 		Candidates:      func() []Candidate { return append([]Candidate(nil), candidates...) },
 		Rand:            rand.New(rand.NewPCG(1, uint64(len(m.nodes)))),
-		Logger:          quiet(),
+		Logger:          discardLogger(),
 	}, endpoint{m, self.Name})
 	m.update(func() { m.nodes[self.Name] = f })
 	go func() { _ = f.Run(ctx) }()
 	return f
 }
 
-func quiet() *logrus.Logger {
+func discardLogger() *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return logger
 }
 
-// bubble runs a test in fake time and ends what it started.
+// bubble runs a test in a synctest bubble and cancels its context at the end.
 func bubble(t *testing.T, test func(t *testing.T, ctx context.Context)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -372,8 +373,8 @@
 	})
 }
 
-// pass lets fake time go on and everything that is due happen.
-func pass(d time.Duration) {
+// advance advances the fake time and waits until all goroutines are blocked.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
--- a/internal/coordination/follower/model_test.go
+++ b/internal/coordination/follower/model_test.go
@@ -13,19 +13,21 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// world is a voter and followers under random cuts and changes.
-type world struct {
-	mesh      *mesh
+// testCluster is a voter and followers under random partitions and changes.
+type testCluster struct {
+	network   *network
 	voter     *voter
 	followers []*Follower
 	names     []string
-	seen      []uint64
-	accepted  []time.Time
+	// lastRevisions are the last revisions seen, by follower.
+	lastRevisions []uint64
+	// accepted are the times at which the changes were accepted.
+	accepted []time.Time
 }
 
-func newWorld(ctx context.Context, count int) *world {
-	w := &world{mesh: newMesh(), names: []string{"v"}, seen: make([]uint64, count)}
-	w.voter = newVoter(w.mesh, "v")
+func newTestCluster(ctx context.Context, count int) *testCluster {
+	w := &testCluster{network: newNetwork(), names: []string{"v"}, lastRevisions: make([]uint64, count)}
+	w.voter = newVoter(w.network, "v")
 	known := []Candidate{{Name: "v", DataCentre: "dc0", Replica: true}}
 	for i := range count {
 		self := relay(i)
@@ -36,21 +38,22 @@
 	}
 	for _, self := range known[1:] {
 		w.names = append(w.names, self.Name)
-		w.followers = append(w.followers, w.mesh.start(ctx, self, known...))
+		w.followers = append(w.followers, w.network.start(ctx, self, known...))
 	}
 	return w
 }
 
-// check: no reader sees a revision go back, and an instance that says it is
-// fresh has every change that was accepted a bound ago or earlier.
-func (w *world) check() string {
+// check returns a violation, or "". The revision of an instance must never decrease, and an
+// instance that reports itself fresh must have every change accepted at least one
+// freshness bound ago.
+func (w *testCluster) check() string {
 	since := time.Now().Add(-bound)
 	for i, f := range w.followers {
 		revision := f.State().Revision()
-		if revision < w.seen[i] {
-			return fmt.Sprintf("%s went from revision %d back to %d", w.names[i+1], w.seen[i], revision)
+		if revision < w.lastRevisions[i] {
+			return fmt.Sprintf("revision of %s decreased from %d to %d", w.names[i+1], w.lastRevisions[i], revision)
 		}
-		w.seen[i] = revision
+		w.lastRevisions[i] = revision
 		if f.Fresh() != nil {
 			continue
 		}
@@ -61,16 +64,16 @@
 	return ""
 }
 
-// Links are cut one way or both and heal, at random, while changes are
-// accepted; relays move between sources meanwhile. Whatever the order, no
-// instance may admit work on rules older than the bound or go back.
+// Links are cut in one or both directions and heal, at random, while changes are accepted
+// and relays switch between sources. In any order of events, no instance may admit work
+// under rules older than the freshness bound, and no revision may decrease.
 func TestModelFreshAndMonotone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(stepGenerator(), 25, 25).Draw(rt, "steps")
-		wrong := ""
-		bubble(t, func(_ *testing.T, ctx context.Context) { wrong = runSteps(ctx, steps) })
-		if wrong != "" {
-			rt.Fatal(wrong)
+		violation := ""
+		bubble(t, func(_ *testing.T, ctx context.Context) { violation = runSteps(ctx, steps) })
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
@@ -104,26 +107,26 @@
 const modelFollowers = 4
 
 func runSteps(ctx context.Context, steps []step) string {
-	w := newWorld(ctx, modelFollowers)
+	w := newTestCluster(ctx, modelFollowers)
 	for _, s := range steps {
 		switch s.do {
 		case change:
 			w.accepted = append(w.accepted, time.Now())
 			w.voter.change()
 		case cut, heal:
-			w.mesh.setCut(w.names[s.from], w.names[s.to], s.do == cut)
+			w.network.setCut(w.names[s.from], w.names[s.to], s.do == cut)
 		}
-		pass(time.Duration(s.ms) * time.Millisecond)
-		if wrong := w.check(); wrong != "" {
-			return wrong
+		advance(time.Duration(s.ms) * time.Millisecond)
+		if violation := w.check(); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
-// A follower asks an instance that no longer leads, then one that is gone, and
-// then the new leader. A command whose outcome is unknown is not sent again:
-// it may have been committed.
+// A follower asks an instance that no longer leads, then one that is unreachable, and
+// then the new leader. A command with unknown outcome must not be resent: it may have
+// been committed.
 func TestProposeGoesOnlyWhereItSurelyDidNotRun(t *testing.T) {
 	moved := failure.New(failure.NotLeader, "moved")
 	moved.Leader = "w"
@@ -143,19 +146,19 @@
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context) {
 				is := is.New(t)
-				m, calls := newMesh(), 0
+				m, calls := newNetwork(), 0
 				newVoter(m, "v")
 				m.reply = func(to string) (*peerpb.Reply, error) {
 					calls++
 					if len(test.answers[to]) == 0 {
-						return nil, failure.New(failure.Internal, "asked too often")
+						return nil, failure.New(failure.Internal, "more calls than expected")
 					}
 					answer := test.answers[to][0]
 					test.answers[to] = test.answers[to][1:]
 					return &peerpb.Reply{}, answer
 				}
 				f := m.start(ctx, relay(1))
-				pass(time.Second)
+				advance(time.Second)
 				_, err := f.Propose(ctx, nil)
 				is.Equal(err == nil, test.want == "")
 				is.True(err == nil || failure.Is(err, test.want))
--- a/internal/coordination/follower/propose.go
+++ b/internal/coordination/follower/propose.go
@@ -10,88 +10,89 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// proposePatience bounds a proposal while no leader answers; an election takes
+// proposeTimeout limits a proposal while no leader answers. An election takes
 // a fraction of it.
-const proposePatience = 10 * time.Second
+const proposeTimeout = 10 * time.Second
 
-// Propose sends the command to the leader. It is sent again after an answer or
-// error that says it surely did not run, and where it is idempotent also after one
-// that leaves this open: another that may have run is for the caller, who knows
-// whether it can be repeated.
+// Propose sends the command to the leader. The command is resent after a failure that
+// guarantees that it did not run. An idempotent command is also resent after a failure
+// with unknown outcome. Any other command that may have run is reported to the caller,
+// who knows whether it can be repeated.
 func (f *Follower) Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposePatience)
+	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	attempts := control.NewProposeAttempts(command)
 	known := f.Leader()
 	to := target{name: known}
-	for pause := firstRetry; ; pause = min(2*pause, lastRetry) {
-		to.settle(f.config.Voters)
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+		to.chooseVoter(f.config.Voters)
 		result, err := f.forward(ctx, attempts, known, to.name, command)
 		if err == nil {
 			return attempts.FinalResult(result)
 		}
-		again := attempts.RecordFailure(err)
+		resend := attempts.RecordFailure(err)
 		refusal := failure.From(err)
-		if !again && !elsewhere(refusal) || !f.pauseBefore(ctx, refusal, to.name, pause) {
+		if !resend && !retryElsewhere(refusal) || !f.pauseBefore(ctx, refusal, to.name, pause) {
 			return nil, attempts.FinalError(err)
 		}
-		if again {
-			f.logAgain(to.name, err)
+		if resend {
+			f.logResend(to.name, err)
 		}
 		known = f.Leader()
 		to.next(refusal, attempts, known)
 	}
 }
 
-// pauseBefore waits before the next try, but for the first refusal that names another
-// leader; it reports false where ctx ends first.
+// pauseBefore waits before the next attempt, except after a first refusal that names
+// another leader. It reports false if ctx ends first.
 func (f *Follower) pauseBefore(ctx context.Context, refusal *failure.Error, tried string, pause time.Duration) bool {
 	hinted := refusal.Leader != "" && refusal.Leader != tried
-	if hinted && pause == firstRetry {
+	if hinted && pause == minRetryDelay {
 		return true
 	}
-	return control.Pause(ctx, f.spread(pause))
+	return control.Pause(ctx, f.jitter(pause))
 }
 
-// target is whom a command is sent to.
+// target is the instance to which a command is sent.
 type target struct {
-	// name is empty where no leader is known.
+	// name is empty if no leader is known.
 	name string
-	// silent is the last one whose try ended with its outcome unknown.
-	silent string
-	// asked counts the voters asked for want of a leader.
-	asked int
+	// timedOut is the last instance whose attempt ended with unknown outcome.
+	timedOut string
+	// votersAsked counts the voters asked because no leader was known.
+	votersAsked int
 }
 
-// settle takes the next voter where no leader is known, but not one that has just
-// kept silent: it may be the leader of before, whose machine stands still.
-func (t *target) settle(voters []string) {
+// chooseVoter selects the next voter if no leader is known. It skips the voter whose
+// attempt has just ended with unknown outcome: that may be the former leader, whose
+// process is paused.
+func (t *target) chooseVoter(voters []string) {
 	if t.name != "" {
 		return
 	}
-	if voters[t.asked%len(voters)] == t.silent {
-		t.asked++
+	if voters[t.votersAsked%len(voters)] == t.timedOut {
+		t.votersAsked++
 	}
-	t.name = voters[t.asked%len(voters)]
-	t.asked++
+	t.name = voters[t.votersAsked%len(voters)]
+	t.votersAsked++
 }
 
-// next goes to the leader that a refusal names, or, with an idempotent command, to
-// the one known here unless that has just failed or kept silent.
+// next selects the leader named by a refusal or, for an idempotent command, the one
+// known here unless its attempt has just failed or ended with unknown outcome.
 func (t *target) next(refusal *failure.Error, attempts *control.ProposeAttempts, known string) {
 	failed := t.name
 	if refusal.NotRun != failure.NotRunTrue {
-		t.silent = failed
+		t.timedOut = failed
 	}
 	t.name = refusal.Leader
-	if t.name == "" && attempts.Idempotent() && known != failed && known != t.silent {
+	if t.name == "" && attempts.Idempotent() && known != failed && known != t.timedOut {
 		t.name = known
 	}
 }
 
-// elsewhere tells the failures of commands that surely did not run, after which another
-// instance may lead.
-func elsewhere(refusal *failure.Error) bool {
+// retryElsewhere reports whether the command certainly did not run and another instance
+// may be the leader.
+func retryElsewhere(refusal *failure.Error) bool {
 	if refusal.NotRun != failure.NotRunTrue {
 		return false
 	}
--- a/internal/coordination/follower/rank.go
+++ b/internal/coordination/follower/rank.go
@@ -7,24 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Candidate is an instance whose log could be followed.
+// Candidate is an instance from which the log could be followed.
 type Candidate struct {
 	Name string
-	// DataCentre is empty where it is not known yet.
+	// DataCentre is empty if it is not known yet.
 	DataCentre string
-	// Replica tells a control replica from a relay, which follows one itself.
+	// Replica is true for a control replica and false for a relay, which itself follows.
 	Replica bool
 }
 
-// Rank orders the candidates for an instance: replicas of its data centre, then
-// relays there with a lesser name than its own, then replicas elsewhere, relays
-// elsewhere, and last the other relays of its data centre. Within one class a
-// hash of both names decides, so that followers spread.
+// Rank returns the names of the candidates in order of preference for an instance:
+// replicas in its data centre, relays there whose names sort before its own, replicas
+// elsewhere, relays elsewhere, and last the other relays in its data centre. Within one
+// class a hash of both names decides, so that followers spread over the sources.
 //
 // The order by name keeps two relays that both lost their source from choosing
-// each other: the lesser keeps a link to another data centre. Greater names
-// come last rather than never, or an instance with a small name would find no
-// source at all once the voters serve as many as they may.
+// each other: the one whose name sorts first keeps a link to another data centre. Relays
+// with greater names come last instead of being excluded, or an instance whose name sorts
+// first would find no source at all once the voters are at their follower limit.
 func Rank(self Candidate, candidates []Candidate) []string {
 	var usable []Candidate
 	for _, c := range candidates {
@@ -46,7 +46,7 @@
 	return names
 }
 
-// distance is the class of a candidate; a lower one is nearer.
+// distance returns the class of a candidate. Lower classes are preferred.
 func distance(self, c Candidate) int {
 	near := c.DataCentre == self.DataCentre
 	switch {
--- a/internal/coordination/follower/search.go
+++ b/internal/coordination/follower/search.go
@@ -11,67 +11,68 @@
 )
 
 const (
-	// firstRetry and lastRetry bound the pause after every source was tried.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond
-	// improveEvery is how often a nearer source than the current is looked for.
-	improveEvery = 10 * time.Second
+	// minRetryDelay and maxRetryDelay limit the delay after all sources were tried.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
+	// improveInterval is how often a nearer source than the current one is searched.
+	improveInterval = 10 * time.Second
 )
 
 // Run follows one source after another until ctx ends.
 func (f *Follower) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if current := f.search(ctx); current != nil {
-			f.stay(ctx, current)
+			f.stayAttached(ctx, current)
 		}
 	}
 	return nil
 }
 
-// search tries the sources in order until one confirms the state. Pauses grow
-// and are spread, so that followers of one lost source do not return together.
+// search tries the sources in order until one confirms the state. It backs off
+// exponentially with jitter, so that the followers of a lost source do not reconnect at
+// the same time.
 func (f *Follower) search(ctx context.Context) *link {
 	searches.Add(1)
-	for pause := firstRetry; ; pause = min(2*pause, lastRetry) {
-		if found := f.first(ctx, f.sources()); found != nil {
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+		if found := f.attachFirst(ctx, f.sources()); found != nil {
 			return found
 		}
-		if !control.Pause(ctx, f.spread(pause)) {
+		if !control.Pause(ctx, f.jitter(pause)) {
 			return nil
 		}
 	}
 }
 
-// first attaches to the first source that answers.
-func (f *Follower) first(ctx context.Context, sources []string) *link {
+// attachFirst attaches to the first source that confirms the state, or returns nil.
+func (f *Follower) attachFirst(ctx context.Context, sources []string) *link {
 	for _, source := range sources {
 		if ctx.Err() != nil {
 			return nil
 		}
 		l, err := f.attach(ctx, source)
 		if err == nil {
-			f.logGained(l)
-			clear(f.named)
+			f.logFollowing(l)
+			clear(f.referrals)
 			return l
 		}
-		f.logFailed(source, err)
-		f.hear(err)
+		f.logAttachFailed(source, err)
+		f.addReferrals(err)
 	}
 	return nil
 }
 
-// hear keeps the sources that a refusal names. After a start nothing but the seeds is
-// known, and they serve a bounded number of followers: with one seed left the last of
-// 38 instances had the state after 24 s, while other replicas had room.
-func (f *Follower) hear(err error) {
-	for _, named := range failure.From(err).Sources {
-		f.named[named.Instance] = Candidate{Name: named.Instance, DataCentre: named.DataCentre, Replica: named.Replica}
+// addReferrals records the sources listed in a refusal. After a start only the seeds are
+// known, and each serves a limited number of followers: with one seed left, the last of
+// 38 instances had the state only after 24 s although other replicas had capacity.
+func (f *Follower) addReferrals(err error) {
+	for _, source := range failure.From(err).Sources {
+		f.referrals[source.Instance] = Candidate{Name: source.Instance, DataCentre: source.DataCentre, Replica: source.Replica}
 	}
 }
 
-// stay keeps to a source until its stream ends, but moves to a nearer one that
-// answers. The new stream stands before the old one is closed.
-func (f *Follower) stay(ctx context.Context, current *link) {
+// stayAttached follows a source until its stream ends and switches to a nearer one when
+// possible. The new stream is established before the old one is closed.
+func (f *Follower) stayAttached(ctx context.Context, current *link) {
 	sourceChanges.Add(1)
 	for {
 		select {
@@ -79,11 +80,11 @@
 			<-current.ended
 			return
 		case <-current.ended:
-			f.logLost(current)
+			f.logSourceLost(current)
 			return
-		case <-time.After(f.spread(improveEvery)):
+		case <-time.After(f.jitter(improveInterval)):
 		}
-		if nearer := f.first(ctx, f.nearerThan(current.source)); nearer != nil {
+		if nearer := f.attachFirst(ctx, f.nearerThan(current.source)); nearer != nil {
 			sourceChanges.Add(1)
 			current.close()
 			current = nearer
@@ -91,17 +92,17 @@
 	}
 }
 
-// sources ranks what is known now: the candidates, what refusals named since the last
-// source was gained, and the voters, for after a start nothing else is known.
+// sources ranks all known sources: the candidates, the referrals since the last source
+// was gained, and the voters, since nothing else is known after a start.
 func (f *Follower) sources() []string {
 	candidates := f.config.Candidates()
-	add := func(more Candidate) {
-		if !slices.ContainsFunc(candidates, func(c Candidate) bool { return c.Name == more.Name }) {
-			candidates = append(candidates, more)
+	add := func(added Candidate) {
+		if !slices.ContainsFunc(candidates, func(c Candidate) bool { return c.Name == added.Name }) {
+			candidates = append(candidates, added)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(f.named)) {
-		add(f.named[name])
+	for _, name := range slices.Sorted(maps.Keys(f.referrals)) {
+		add(f.referrals[name])
 	}
 	for _, voter := range f.config.Voters {
 		add(Candidate{Name: voter, Replica: true})
@@ -115,8 +116,8 @@
 	return sources[:max(0, at)]
 }
 
-// spread gives between half and the whole of a pause.
-func (f *Follower) spread(pause time.Duration) time.Duration {
+// jitter returns a random duration between half of the pause and all of it.
+func (f *Follower) jitter(pause time.Duration) time.Duration {
 	f.randMu.Lock()
 	defer f.randMu.Unlock()
 	return pause/2 + time.Duration(f.config.Rand.Int64N(int64(pause/2)))
--- a/internal/coordination/follower/silence.go
+++ b/internal/coordination/follower/silence.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// silenceWatch closes a link on which no byte has come for a while. Bytes count and
-// not batches: a large entry takes longer than that on a thin link. Its timer fires
-// only when no whole batch has come, so a link that is well costs no wake-up.
-type silenceWatch struct {
+// idleTimer closes a link on which no byte has arrived within the limit. It counts
+// bytes, not batches: a large entry takes longer than the limit on a slow link. The timer
+// fires only if no complete batch has arrived, so that a healthy link costs no wake-up.
+type idleTimer struct {
 	link  *link
 	limit time.Duration
 	mu    sync.Mutex
 	timer *time.Timer
-	// bytesReceived is the count of bytes when the timer was last set.
+	// bytesReceived is the number of bytes received when the timer was last set.
 	bytesReceived uint64
 }
 
-func watchSilence(l *link, limit time.Duration) *silenceWatch {
-	w := &silenceWatch{link: l, limit: limit, bytesReceived: l.stream.BytesReceived()}
+func startIdleTimer(l *link, limit time.Duration) *idleTimer {
+	w := &idleTimer{link: l, limit: limit, bytesReceived: l.stream.BytesReceived()}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.timer = time.AfterFunc(limit, w.look)
+	w.timer = time.AfterFunc(limit, w.check)
 	return w
 }
 
-// heard notes a whole batch.
-func (w *silenceWatch) heard() {
+// reset restarts the timer after a complete batch.
+func (w *idleTimer) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.bytesReceived = w.link.stream.BytesReceived()
 	w.timer.Reset(w.limit)
 }
 
-// look closes the link unless a part of a batch has come.
-func (w *silenceWatch) look() {
+// check closes the link unless part of a batch has arrived since the timer was set.
+func (w *idleTimer) check() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	received := w.link.stream.BytesReceived()
@@ -46,4 +46,4 @@
 	w.timer.Reset(w.limit)
 }
 
-func (w *silenceWatch) stop() { w.timer.Stop() }
+func (w *idleTimer) stop() { w.timer.Stop() }
--- a/internal/coordination/follower/take.go
+++ b/internal/coordination/follower/take.go
@@ -11,8 +11,8 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// take applies one batch and confirms the state where the batch allows it.
-func (f *Follower) take(l *link, batch *peerpb.FollowBatch) error {
+// applyBatch applies one batch and confirms the state if the batch permits it.
+func (f *Follower) applyBatch(l *link, batch *peerpb.FollowBatch) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := f.describe(l, batch); err != nil {
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// describe keeps what the source says of itself. A source that follows this
-// instance is left: both would wait for each other.
+// describe records the leader and the path that the source reports. It fails if the
+// source follows this instance, since neither would then reach a voter.
 func (f *Follower) describe(l *link, batch *peerpb.FollowBatch) error {
 	if batch.Leader != "" {
 		l.leader = batch.Leader
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// install replaces the state by a newer snapshot. A source that is behind may
-// send an older one; it is passed over, since a revision must never go back.
+// install replaces the state by a newer snapshot. A lagging source may send an older
+// one, which is ignored, since the revision must never decrease.
 func (f *Follower) install(l *link, part *peerpb.SnapshotPart) error {
 	if part == nil {
 		return nil
@@ -54,7 +54,7 @@
 		return err
 	}
 	if snapshot.Revision < f.State().Revision() {
-		return failure.New(failure.WrongAnswer, "snapshot of revision %d after %d", snapshot.Revision, f.State().Revision())
+		return failure.New(failure.WrongAnswer, "snapshot has revision %d, older than the current %d", snapshot.Revision, f.State().Revision())
 	}
 	snapshots.Add(1)
 	state := store.Restore(snapshot)
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// apply moves the state over the entries. Those already applied are passed
-// over, for streams may overlap; a gap means that the source lost its place.
+// apply applies the entries. Those already applied are skipped, since streams may
+// overlap. A gap means that the source lost track of this follower's position.
 func (f *Follower) apply(entries []*peerpb.LogEntry) error {
 	state := f.State()
 	var applied []*peerpb.LogEntry
@@ -73,14 +73,14 @@
 			continue
 		}
 		if entry.Index != state.Index()+1 {
-			return failure.New(failure.WrongAnswer, "entry %d after %d", entry.Index, state.Index())
+			return failure.New(failure.WrongAnswer, "gap in the log: entry %d received after %d", entry.Index, state.Index())
 		}
 		entry, err := feed.Unpack(entry)
 		if err != nil {
 			return err
 		}
 		if entry.Command != nil && !store.Understands(entry.Command) {
-			return failure.New(failure.CommandTooNew, "command %d is of a newer process", entry.Index)
+			return failure.New(failure.CommandTooNew, "entry %d has a command of a newer version", entry.Index)
 		}
 		state, _ = control.Apply(state, entry)
 		f.feed.Passed(state)
@@ -93,10 +93,10 @@
 	return nil
 }
 
-// confirm notes until when the state is known to be complete: `age` before the
-// ping left that the batch answers. A state that lacks entries of the batch's
-// commit is not confirmed by it. Only this process's clock is read, and no
-// later confirmation is undone by an earlier one from another source.
+// confirm records the time up to which the state is known to be complete: `age` before
+// the echoed ping was sent. A batch does not confirm a state that has not reached the
+// batch's commit index. Only this process's clock is used, and an earlier confirmation
+// from another source does not replace a later one.
 func (f *Follower) confirm(l *link, batch *peerpb.FollowBatch) {
 	sent, ok := l.pings.SentAt(batch.Echo)
 	if !ok || f.State().Index() < batch.Commit {
--- a/internal/coordination/follower/thin_test.go
+++ b/internal/coordination/follower/thin_test.go
@@ -15,15 +15,15 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// largeStates adds the cases that take a minute with the race detector.
-var largeStates = flag.Bool("large", false, "play starts with large states too")
+// largeStates adds the cases that take a minute with the race detector enabled.
+var largeStates = flag.Bool("large", false, "also run the start tests with large states")
 
-// thinLink is a link of 2 Mbit/s in bytes a second.
-const thinLink = 250e3
+// slowLink is the rate of a link of 2 Mbit/s in bytes per second.
+const slowLink = 250e3
 
-// stateOf makes a state of about that many encoded bytes, as a busy deployment has
-// it: open workflows with their texts, and units that run.
-func stateOf(bytes int) *store.State {
+// stateOfSize creates a state of about that many encoded bytes, as in a busy deployment:
+// open workflows with their specifications, and running jobs.
+func stateOfSize(bytes int) *store.State {
 	random := rand.New(rand.NewPCG(uint64(bytes), 1))
 	snapshot := &controlpb.Snapshot{Index: 1000}
 	for size := 0; size < bytes; {
@@ -49,9 +49,9 @@
 	return store.Restore(snapshot)
 }
 
-// startAll starts followers of voters with a large state and gives how long each
-// took to be fresh.
-func startAll(t *testing.T, ctx context.Context, m *mesh, voters []string, followers int, state *store.State) []time.Duration {
+// startAll starts followers of voters with a large state and returns how long each took
+// to become fresh, or 0 if it did not within 10 minutes.
+func startAll(t *testing.T, ctx context.Context, m *network, voters []string, followers int, state *store.State) []time.Duration {
 	var candidates []Candidate
 	var writers []*voter
 	for i, name := range voters {
@@ -60,16 +60,16 @@
 		writers = append(writers, v)
 		candidates = append(candidates, Candidate{Name: name, DataCentre: fmt.Sprintf("dc%d", i%3), Replica: true})
 	}
-	go writeOn(ctx, writers)
+	go writeContinuously(ctx, writers)
 	var started []*Follower
 	for i := range followers {
 		self := Candidate{Name: fmt.Sprintf("r%02d", i), DataCentre: fmt.Sprintf("dc%d", i%3)}
-		m.rates[self.Name] = thinLink
+		m.rates[self.Name] = slowLink
 		started = append(started, m.start(ctx, self, candidates...))
 	}
 	took := make([]time.Duration, followers)
 	begin := time.Now()
-	for pending := followers; pending > 0 && time.Since(begin) < 10*time.Minute; pass(50 * time.Millisecond) {
+	for pending := followers; pending > 0 && time.Since(begin) < 10*time.Minute; advance(50 * time.Millisecond) {
 		pending = 0
 		for i, f := range started {
 			if took[i] > 0 {
@@ -84,8 +84,8 @@
 	return took
 }
 
-// writeOn goes on changing the state, 100 times a second.
-func writeOn(ctx context.Context, voters []*voter) {
+// writeContinuously changes the state 100 times a second until ctx ends.
+func writeContinuously(ctx context.Context, voters []*voter) {
 	for ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
@@ -97,16 +97,16 @@
 	}
 }
 
-// Instances without a disk start on links of 2 Mbit/s while the state is some
-// megabytes and goes on changing. Callers are refused until an instance has the
-// state. A part of a snapshot takes long enough there to be taken for silence of
-// its source; the instance then began again elsewhere, for ever, and refused every
-// caller. It has to be ready in the time that the state takes on the link.
+// Diskless instances start on links of 2 Mbit/s while the state has several megabytes and
+// keeps changing. Until an instance has the state it refuses callers. A snapshot part takes
+// so long on such a link that the idle timeout of the source could expire; the instance
+// then started over at another source, forever, and refused every caller. It must be ready
+// within the time that the transfer of the state takes on the link.
 func TestStartsOnAThinLink(t *testing.T) {
 	tests := []struct {
 		megabytes float64
 		followers int
-		most      time.Duration
+		limit     time.Duration
 		large     bool
 	}{
 		{1, 1, 3 * time.Second, false},
@@ -121,27 +121,26 @@
 		}
 		t.Run(fmt.Sprintf("%v MB, %d at once", test.megabytes, test.followers), func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context) {
-				is, m := is.New(t), newMesh()
-				took := startAll(t, ctx, m, []string{"v", "w", "x"}, test.followers, stateOf(int(test.megabytes*1e6)))
+				is, m := is.New(t), newNetwork()
+				took := startAll(t, ctx, m, []string{"v", "w", "x"}, test.followers, stateOfSize(int(test.megabytes*1e6)))
 				slowest := time.Duration(0)
-				for _, one := range took {
-					is.True(one > 0)
-					slowest = max(slowest, one)
+				for _, duration := range took {
+					is.True(duration > 0)
+					slowest = max(slowest, duration)
 				}
 				t.Logf("ready after %v at the latest; sent by v, w, x: %d, %d, %d bytes", slowest, m.sentBy("v"), m.sentBy("w"), m.sentBy("x"))
-				is.True(slowest <= test.most)
+				is.True(slowest <= test.limit)
 			})
 		})
 	}
 }
 
-// The source is cut off in the middle of a transfer. The instance goes to another
-// source, and what it holds of the snapshot counts there: it is ready sooner than
-// one that begins anew could be.
+// The source is partitioned during a transfer. The instance must resume the transfer of
+// the snapshot at another source instead of starting over.
 func TestTransferGoesOnAtAnotherSource(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
-		is, m := is.New(t), newMesh()
-		state := stateOf(8e6)
+		is, m := is.New(t), newNetwork()
+		state := stateOfSize(8e6)
 		first := Candidate{Name: "v", DataCentre: "dc1", Replica: true}
 		second := Candidate{Name: "w", DataCentre: "dc2", Replica: true}
 		for _, c := range []Candidate{first, second} {
@@ -149,43 +148,42 @@
 			v.feed.Installed(state)
 			v.Publish(state)
 		}
-		m.rates["r01"] = thinLink
+		m.rates["r01"] = slowLink
 		f := m.start(ctx, relay(1), first, second)
 		for m.sentBy("v") < 8e5 {
-			pass(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 		}
 		m.setCutBoth("v", "r01", true)
-		begin := m.sentBy("v")
+		received := m.sentBy("v")
 		for f.Fresh() != nil {
-			pass(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 		}
-		t.Logf("%d bytes from the first source, %d from the second", begin, m.sentBy("w"))
-		is.True(m.sentBy("w") < begin)
+		t.Logf("%d bytes from the first source, %d from the second", received, m.sentBy("w"))
+		is.True(m.sentBy("w") < received)
 	})
 }
 
-// A data centre without a replica has one instance that is ready, and four more
-// start there after a loss of power. All four asked their neighbour for the state,
-// whose link of 2 Mbit/s they then shared, and refused callers four times as long as
-// the state takes, while the replicas elsewhere had room. An instance on a thin link
-// sends one state at a time.
+// A data centre without a replica has one instance that is ready, and four more start
+// there after a power failure. All four requested the state from that instance, shared its
+// link of 2 Mbit/s, and refused callers four times as long as one transfer takes, while
+// the replicas elsewhere had capacity. A relay must send one snapshot at a time.
 func TestStartsBesideANeighbourOnAThinLink(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
-		is, m := is.New(t), newMesh()
+		is, m := is.New(t), newNetwork()
 		v := newVoter(m, "v")
-		v.Publish(stateOf(4e6))
+		v.Publish(stateOfSize(4e6))
 		known := []Candidate{{Name: "v", DataCentre: "dc0", Replica: true}}
 		ready := func(followers ...*Follower) time.Duration {
 			begin := time.Now()
 			for _, f := range followers {
 				for f.Fresh() != nil && time.Since(begin) < time.Minute {
-					pass(50 * time.Millisecond)
+					advance(50 * time.Millisecond)
 				}
 			}
 			return time.Since(begin)
 		}
 		for i := range 5 {
-			m.rates[relay(i).Name] = thinLink
+			m.rates[relay(i).Name] = slowLink
 		}
 		alone := ready(m.start(ctx, relay(0), known...))
 		var started []*Follower
@@ -194,21 +192,21 @@
 			started = append(started, m.start(ctx, relay(i), known...))
 		}
 		together := ready(started...)
-		t.Logf("ready after %v alone, %v four at once; sent by the neighbour: %d bytes", alone, together, m.sentBy("r00"))
+		t.Logf("ready after %v alone, %v four at once; sent by the relay: %d bytes", alone, together, m.sentBy("r00"))
 		is.True(together < 2*alone)
 	})
 }
 
-// An operator declares two thousand queues in one document of half a megabyte, as
-// large ones do. Instances on thin links must have it within 2 s, the time in which
-// a change is in force, or they refuse callers as stale.
-func TestLargeDocumentOnAThinLink(t *testing.T) {
+// An operator declares 2,000 queues in one document of half a megabyte. Instances on slow
+// links must have it within 2 s, the time within which a change must be in force, or they
+// refuse callers as stale.
+func TestLargeDocumentOnSlowLink(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
-		is, m := is.New(t), newMesh()
+		is, m := is.New(t), newNetwork()
 		v := newVoter(m, "v")
-		m.rates["r01"] = thinLink
+		m.rates["r01"] = slowLink
 		f := m.start(ctx, relay(1))
-		pass(time.Second)
+		advance(time.Second)
 		replace := &controlpb.ReplaceDeclarations{Document: &controlpb.Document{Version: 1}}
 		for i := range 2000 {
 			route := fmt.Sprintf(`{"name":"r-%d","host":"h.example","pathPrefix":"/q%d/","kind":"unsafe","timeoutMs":3000,"targetLatencyMs":1000,"priority":1,"service":"s","maxAttempts":3,"slackFactor":1.5}`, i, i)
@@ -219,7 +217,7 @@
 		v.apply(&controlpb.Command{Op: &controlpb.Command_Replace{Replace: replace}})
 		begin := time.Now()
 		for f.State().Index() < v.State().Index() {
-			pass(20 * time.Millisecond)
+			advance(20 * time.Millisecond)
 		}
 		took := time.Since(begin)
 		t.Logf("%d bytes in %v", proto.Size(replace), took)
