--- a/internal/coordination/softstate/exchange_test.go
+++ b/internal/coordination/softstate/exchange_test.go
@@ -26,7 +26,7 @@
 	pipeSize  = 64
 )
 
-// cluster is instances that watch each other over pipes in memory.
+// cluster is a set of instances that watch each other over in-memory pipes.
 type cluster struct {
 	mu        sync.Mutex
 	names     []string
@@ -54,13 +54,13 @@
 	return c
 }
 
-// start starts an instance, anew where it runs.
+// start starts an instance, or replaces it by a new incarnation.
 func (c *cluster) start(ctx context.Context, name string, incarnation int64) *instance {
 	ctx, stop := context.WithCancel(ctx)
 	i := &instance{cluster: c, name: name, ctx: ctx, stop: stop}
 	i.registry = membership.NewRegistry(membership.Config{Self: name, Incarnation: incarnation, OriginTTL: originTTL, Now: time.Now})
 	config := Config{Self: name, PingEvery: pingEvery, Renewals: i.leads.Load, Rand: rand.New(rand.NewPCG(1, uint64(incarnation)))}
-	i.exchange = New(config, i.registry, i, fixed(timeout))
+	i.exchange = New(config, i.registry, i, fixedTimeout(timeout))
 	c.mu.Lock()
 	c.instances[name] = i
 	c.mu.Unlock()
@@ -68,10 +68,10 @@
 	return i
 }
 
-type fixed time.Duration
+type fixedTimeout time.Duration
 
-func (fixed) Heard(string, time.Time)        {}
-func (f fixed) Timeout(string) time.Duration { return time.Duration(f) }
+func (fixedTimeout) Heard(string, time.Time)        {}
+func (f fixedTimeout) Timeout(string) time.Duration { return time.Duration(f) }
 
 func (i *instance) Peers() []string {
 	var others []string
@@ -146,22 +146,22 @@
 	})
 }
 
-func pass(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// A minion tells one of nine instances that it leaves. Every instance must
-// know within a fraction of a second, or its callers are sent to a minion that
-// stops; the promise is a few seconds.
+// A worker announces to one of nine instances that it is leaving. Every instance must
+// know within a fraction of a second, or its callers are sent to a worker that is
+// stopping. The documented limit is a few seconds.
 func TestLeavingIsKnownEverywhereAtOnce(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 9)
-		pass(time.Second)
+		advance(time.Second)
 		c.instances["i0"].announce(is, upstream(1, false))
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		c.instances["i0"].announce(is, upstream(2, true))
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		for _, i := range c.instances {
 			seen, ok := i.registry.Get("w")
 			is.True(ok && seen.Leaving)
@@ -169,107 +169,107 @@
 	})
 }
 
-// An upstream goes on announcing the same. Nothing is sent for that, and yet no
-// instance forgets it; when it falls silent all forget it.
-func TestRenewalsCostNothing(t *testing.T) {
+// An upstream keeps announcing itself unchanged. Nothing must be sent for that, and yet no
+// instance may expire it. When it stops announcing itself, all must expire it.
+func TestUnchangedAnnouncementsAreNotSent(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 3)
-		pass(time.Second)
+		advance(time.Second)
 		i0, i2 := c.instances["i0"], c.instances["i2"]
 		i0.announce(is, upstream(1, false))
-		pass(time.Second)
+		advance(time.Second)
 		_, before := i2.registry.Position("i0")
 		for version := range uint64(60) {
 			i0.announce(is, upstream(version+2, false))
-			pass(time.Second)
+			advance(time.Second)
 		}
 		_, after := i2.registry.Position("i0")
 		is.Equal(before, after)
 		is.Equal(len(i2.registry.Live(worker)), 1)
-		pass(ttl + sweepEvery)
+		advance(ttl + sweepInterval)
 		is.Equal(len(i2.registry.Live(worker)), 0)
 	})
 }
 
-// An instance is killed and comes back under the same address as another
-// process. It must hear of all upstreams at once, and the others must see that
-// it is another, keeping meanwhile what the one before vouched for.
-func TestReplacedInstanceHearsAll(t *testing.T) {
+// An instance is killed and a new process starts at the same address. It must receive all
+// upstreams immediately. The others must recognise the new incarnation, and until then
+// keep the upstreams announced by the previous one.
+func TestRestartedInstanceReceivesAllUpstreams(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 3)
-		pass(time.Second)
+		advance(time.Second)
 		c.instances["i0"].announce(is, upstream(1, false))
 		own := upstream(1, false)
 		own.Id = "own"
 		c.instances["i2"].announce(is, own)
-		pass(time.Second)
+		advance(time.Second)
 		c.instances["i2"].stop()
-		pass(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		_, ok := c.instances["i0"].registry.Get("own")
 		is.True(ok)
 		again := c.start(ctx, "i2", 2)
-		pass(200 * time.Millisecond)
+		advance(200 * time.Millisecond)
 		_, ok = again.registry.Get("w")
 		is.True(ok)
-		pass(lastRetry)
+		advance(maxRetryDelay)
 		for _, state := range c.instances["i0"].registry.Instances(originTTL) {
 			is.Equal(state.Incarnation == 2, state.Name == "i2")
 		}
 	})
 }
 
-// An instance stops in good order. The others must know before it is gone, so
-// that followers turn to another source and lists say so.
-func TestStopIsToldAtOnce(t *testing.T) {
+// An instance stops gracefully. The others must know before it is gone, so that its
+// followers switch to another source and instance lists show it as leaving.
+func TestGracefulStopIsAnnounced(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 3)
-		pass(time.Second)
+		advance(time.Second)
 		stopping := c.instances["i1"]
 		began := time.Now()
 		stopping.exchange.Leave(ctx)
-		is.True(stopping.exchange.leavingTold())
-		is.True(time.Since(began) < leavePatience)
+		is.True(stopping.exchange.leavingSent())
+		is.True(time.Since(began) < leaveTimeout)
 		stopping.registry.SetSelf(&peerpb.InstanceState{Name: "i1", Ready: true})
-		pass(2 * coalesce)
+		advance(2 * coalesceInterval)
 		stopping.stop()
 		synctest.Wait()
-		told := 0
+		leaving := 0
 		for _, state := range c.instances["i0"].registry.Instances(originTTL) {
 			if state.Leaving {
-				told++
+				leaving++
 			}
 		}
-		is.Equal(told, 1)
+		is.Equal(leaving, 1)
 	})
 }
 
-// A change of configuration is in force at one instance; operators who wait for
-// it everywhere ask any other. Progress must come without the next ping.
-func TestProgressIsToldAtOnce(t *testing.T) {
+// A configuration change is in force at one instance, and operators who wait until it is in
+// force everywhere ask any other. Progress must be sent without waiting for the next ping.
+func TestProgressIsSentImmediately(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 3)
-		pass(pingEvery + time.Second)
+		advance(pingEvery + time.Second)
 		c.instances["i1"].registry.SetSelf(&peerpb.InstanceState{Name: "i1", Revision: 7, Ready: true})
-		pass(2 * coalesce)
+		advance(2 * coalesceInterval)
 		for _, state := range c.instances["i0"].registry.Instances(originTTL) {
 			is.Equal(state.Revision == 7, state.Name == "i1")
 		}
 	})
 }
 
-// The leader sends commands to workers, and a lease that it gives runs from the
-// newest announcement that it knows of. It must know one of the last moment
-// even where a worker has said the same for long; the others are spared that.
-func TestLeaderKnowsTheNewestAnnouncement(t *testing.T) {
+// The leader sends commands to workers, and a lease that it grants starts at the newest
+// announcement that it has received. It must have a recent one even if a worker's
+// announcements have long been unchanged. Other instances must not receive these renewals.
+func TestLeaderReceivesNewestAnnouncement(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 3)
-		pass(time.Second)
+		advance(time.Second)
 		for version := range uint64(20) {
 			c.instances["i0"].announce(is, upstream(version+1, false))
-			pass(time.Second)
+			advance(time.Second)
 			c.instances["i1"].leads.Store(version >= 10)
 		}
-		pass(2 * renewEvery)
+		advance(2 * renewInterval)
 		atLeader, _ := c.instances["i1"].registry.Get("w")
 		is.Equal(atLeader.Version, uint64(20))
 		elsewhere, _ := c.instances["i2"].registry.Get("w")
--- a/internal/coordination/softstate/serve.go
+++ b/internal/coordination/softstate/serve.go
@@ -16,27 +16,27 @@
 type session struct {
 	exchange *Exchange
 	stream   Stream
-	// incarnation and after are what the watcher holds.
+	// incarnation and after are the position up to which the watcher has the changes.
 	incarnation int64
 	after       uint64
 	ping        atomic.Uint64
 	pinged      chan struct{}
-	// answered is the newest ping that a batch has named, told the newest
-	// state of this instance that one has carried.
+	// answered is the newest ping echoed by a batch.
 	answered uint64
-	// renewals tells whether the watcher wants versions of announcements that
-	// changed nothing; has is what it was sent of them.
-	renewals    atomic.Bool
-	has         map[uint32]uint64
-	told        *peerpb.InstanceState
-	leavingTold atomic.Bool
+	// renewals is true if the watcher wants the versions of announcements without
+	// changes. sentVersions are those already sent.
+	renewals     atomic.Bool
+	sentVersions map[uint32]uint64
+	// sentState is the last state of this instance sent in a batch.
+	sentState   *peerpb.InstanceState
+	leavingSent atomic.Bool
 }
 
-// Serve sends a watcher what this instance hears first hand, until its stream
-// ends.
+// Serve streams the changes that this instance observes directly to a watcher until the
+// stream ends.
 func (x *Exchange) Serve(ctx context.Context, watch *peerpb.Watch, stream Stream) error {
 	s := &session{exchange: x, stream: stream, incarnation: watch.Incarnation, after: watch.After, pinged: make(chan struct{}, 1)}
-	s.has = map[uint32]uint64{}
+	s.sentVersions = map[uint32]uint64{}
 	s.ping.Store(1)
 	s.renewals.Store(watch.Renewals)
 	if err := x.admit(s); err != nil {
@@ -53,7 +53,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if len(x.sessions) >= maxWatchers {
-		return failure.New(failure.Overloaded, "%d instances watch already", maxWatchers)
+		return failure.New(failure.Overloaded, "limit of %d watchers reached", maxWatchers)
 	}
 	x.sessions[s] = true
 	watchers.Add(1)
@@ -67,7 +67,7 @@
 	watchers.Add(-1)
 }
 
-// receive reads pings; the end of the stream ends the session.
+// receive reads pings. It ends the session when the stream ends.
 func (s *session) receive(cancel context.CancelFunc) {
 	defer cancel()
 	for {
@@ -92,7 +92,7 @@
 			return err
 		}
 		if sent {
-			control.Pause(ctx, coalesce)
+			control.Pause(ctx, coalesceInterval)
 			continue
 		}
 		select {
@@ -105,62 +105,63 @@
 	return nil
 }
 
-// renewalDue never comes for a watcher that wants no renewals.
+// renewalDue returns a channel that never fires for a watcher that wants no renewals.
 func (s *session) renewalDue() <-chan time.Time {
 	if !s.renewals.Load() {
 		return nil
 	}
-	return time.After(renewEvery)
+	return time.After(renewInterval)
 }
 
-// step sends one batch where there is something to say.
+// step sends one batch if there is anything to send, and reports whether it did.
 func (s *session) step() (bool, error) {
 	first := s.answered == 0
 	batch := s.exchange.registry.Changes(s.incarnation, s.after, maxBatchBytes)
-	news := batch.To > batch.From || (first && batch.Reset_)
-	if !news {
+	hasChanges := batch.To > batch.From || (first && batch.Reset_)
+	if !hasChanges {
 		batch = &peerpb.SoftBatch{}
 	}
 	batch.Echo = s.ping.Load()
 	if s.renewals.Load() && !first {
-		batch.Renewed, batch.Versions = s.exchange.registry.Renewals(s.has)
+		batch.Renewed, batch.Versions = s.exchange.registry.Renewals(s.sentVersions)
 	}
 	self := s.describe(batch, first)
-	if !news && batch.Echo == s.answered && batch.Instance == nil && batch.Progress == nil && len(batch.Renewed) == 0 {
+	if !hasChanges && batch.Echo == s.answered && batch.Instance == nil && batch.Progress == nil && len(batch.Renewed) == 0 {
 		return false, nil
 	}
 	if err := s.stream.Send(batch); err != nil {
 		return false, err
 	}
 	batchesSent.Add(1)
-	if news {
+	if hasChanges {
 		s.incarnation, s.after = self.Incarnation, batch.To
 	}
-	s.answered, s.told = batch.Echo, self
-	s.leavingTold.Store(self.Leaving)
+	s.answered, s.sentState = batch.Echo, self
+	s.leavingSent.Store(self.Leaving)
 	return true, nil
 }
 
-// describe adds what changed of this instance: the whole at first and when more
-// than its progress changed, else its progress. The applied index alone waits for the next ping.
+// describe adds the changes of this instance's own state to the batch: the full state at
+// first and when more than its progress changed, else the progress. A change of the applied
+// index alone is sent with the answer to the next ping.
 func (s *session) describe(batch *peerpb.SoftBatch, first bool) *peerpb.InstanceState {
 	self := s.exchange.registry.Self()
 	switch {
 	case first:
 		batch.Incarnation = self.Incarnation
 		batch.Instance = self
-	case !proto.Equal(fixedState(self), fixedState(s.told)):
+	case !proto.Equal(withoutProgress(self), withoutProgress(s.sentState)):
 		batch.Instance = self
-	case self.Revision != s.told.Revision || self.Ready != s.told.Ready || self.Leaving != s.told.Leaving,
-		batch.Echo != s.answered && self.Applied != s.told.Applied:
+	case self.Revision != s.sentState.Revision || self.Ready != s.sentState.Ready || self.Leaving != s.sentState.Leaving,
+		batch.Echo != s.answered && self.Applied != s.sentState.Applied:
 		batch.Progress = &peerpb.Progress{Applied: self.Applied, Revision: self.Revision, Ready: self.Ready, Leaving: self.Leaving, LogRole: self.LogRole}
 	default:
-		return s.told
+		return s.sentState
 	}
 	return self
 }
 
-func fixedState(state *peerpb.InstanceState) *peerpb.InstanceState {
+func withoutProgress(state *peerpb.InstanceState) *peerpb.InstanceState {
 	state = proto.CloneOf(state)
 	state.Applied = 0
 	state.Revision = 0
--- a/internal/coordination/softstate/softstate.go
+++ b/internal/coordination/softstate/softstate.go
@@ -1,8 +1,8 @@
-// Package softstate carries soft state between instances. Each instance
-// watches every other: it keeps one stream to it, gets what that instance hears
-// first hand as it changes, and pings it at a slow pace. Nothing is passed on
-// at second hand, so nothing comes back as an echo and no order of arrival
-// between instances matters.
+// Package softstate exchanges soft state between instances. Each instance
+// watches every other one: it keeps one stream to it, receives the state that the
+// other observes directly as it changes, and pings it at a low rate. State received
+// from others is never relayed, so that there are no loops and the order of arrival
+// between instances does not matter.
 package softstate
 
 import (
@@ -17,19 +17,19 @@
 )
 
 const (
-	// maxBatchBytes bounds the upstreams of one batch.
+	// maxBatchBytes limits the encoded upstreams of one batch.
 	maxBatchBytes = 64 << 10
-	// coalesce is the least time between two batches to one watcher, so that a
-	// burst of announcements costs one.
-	coalesce = 20 * time.Millisecond
-	// renewEvery is how often a watcher that sends commands to workers gets the
+	// coalesceInterval is the minimum time between two batches to one watcher, so that
+	// a burst of announcements is sent as one batch.
+	coalesceInterval = 20 * time.Millisecond
+	// renewInterval is how often a watcher that sends commands to workers receives the
 	// versions of their announcements.
-	renewEvery = 200 * time.Millisecond
-	// sweepEvery is how often expired upstreams are looked for.
-	sweepEvery = 200 * time.Millisecond
-	// leavePatience bounds the wait for watchers to be told of a stop.
-	leavePatience = 500 * time.Millisecond
-	// maxWatchers bounds the streams that one instance serves.
+	renewInterval = 200 * time.Millisecond
+	// sweepInterval is how often expired upstreams are removed.
+	sweepInterval = 200 * time.Millisecond
+	// leaveTimeout limits the wait until a stop has been sent to all watchers.
+	leaveTimeout = 500 * time.Millisecond
+	// maxWatchers limits the streams that one instance serves.
 	maxWatchers = 64
 )
 
@@ -46,7 +46,7 @@
 	Receive() (*peerpb.WatchPing, error)
 }
 
-// SourceStream is the watching end.
+// SourceStream is the watcher's end of the stream.
 type SourceStream interface {
 	Send(ping *peerpb.WatchPing) error
 	Receive() (*peerpb.SoftBatch, error)
@@ -59,26 +59,26 @@
 	Watch(ctx context.Context, to string, watch *peerpb.Watch) (SourceStream, error)
 }
 
-// Observer learns when a peer was heard, for failure detection.
+// Observer records the answers of peers, for failure detection.
 type Observer interface {
-	// Heard notes a peer's answer to a ping that left at that time.
+	// Heard records a peer's answer to a ping that was sent at that time.
 	Heard(peer string, at time.Time)
-	// Timeout is how long the peer may be silent.
+	// Timeout returns the time without a batch after which the peer's stream is given up.
 	Timeout(peer string) time.Duration
 }
 
 // Config of an exchange.
 type Config struct {
 	Self string
-	// PingEvery is the pace of pings on a stream without changes.
+	// PingEvery is the interval of pings on a stream.
 	PingEvery time.Duration
-	// Renewals tells whether this instance sends commands to workers now.
+	// Renewals reports whether this instance currently sends commands to workers.
 	Renewals func() bool
-	// Rand drives backoff; the caller seeds it.
+	// Rand is the source of backoff jitter, seeded by the caller.
 	Rand *rand.Rand
 }
 
-// Exchange is one instance's part in the exchange of soft state.
+// Exchange sends and receives soft state for one instance.
 type Exchange struct {
 	config   Config
 	registry *membership.Registry
@@ -86,12 +86,12 @@
 	observer Observer
 	mu       sync.Mutex
 	sessions map[*session]bool
-	// wanted tells whether renewals are; wantedChanged is closed when that turns.
+	// wanted is true if renewals are wanted. wantedChanged is closed when wanted changes.
 	wanted        bool
 	wantedChanged chan struct{}
 }
 
-// New makes an exchange.
+// New creates an exchange.
 func New(config Config, registry *membership.Registry, peers Peers, observer Observer) *Exchange {
 	return &Exchange{config: config, registry: registry, peers: peers, observer: observer, sessions: map[*session]bool{}, wantedChanged: make(chan struct{})}
 }
@@ -109,7 +109,7 @@
 		}
 	}
 	watchAll()
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -117,14 +117,15 @@
 		case <-ticker.C:
 			watchAll()
 			x.registry.Sweep()
-			x.lookAtRenewals()
+			x.updateRenewals()
 		}
 	}
 	group.Wait()
 }
 
-// lookAtRenewals is one look for all streams, so that each need not wake for it.
-func (x *Exchange) lookAtRenewals() {
+// updateRenewals polls Config.Renewals for all streams, so that they need not poll it
+// themselves.
+func (x *Exchange) updateRenewals() {
 	wanted := x.config.Renewals()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -136,42 +137,42 @@
 	x.wantedChanged = make(chan struct{})
 }
 
-// renewals tells whether this instance wants them, and gives a channel that is
-// closed when that turns.
+// renewals reports whether this instance wants renewals, and returns a channel that is
+// closed when that changes.
 func (x *Exchange) renewals() (bool, <-chan struct{}) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.wanted, x.wantedChanged
 }
 
-// Leave tells the others that this instance stops, and waits a moment until
-// the streams that stand have carried it.
+// Leave announces that this instance stops, and waits up to leaveTimeout until that has
+// been sent on all open streams.
 func (x *Exchange) Leave(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leavePatience)
+	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	x.registry.Leave()
-	for !x.leavingTold() {
+	for !x.leavingSent() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(coalesce):
+		case <-time.After(coalesceInterval):
 		}
 	}
 }
 
-func (x *Exchange) leavingTold() bool {
+func (x *Exchange) leavingSent() bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for s := range x.sessions {
-		if !s.leavingTold.Load() {
+		if !s.leavingSent.Load() {
 			return false
 		}
 	}
 	return true
 }
 
-// spread gives between half and the whole of a pause.
-func (x *Exchange) spread(pause time.Duration) time.Duration {
+// jitter returns a random duration between half of the pause and all of it.
+func (x *Exchange) jitter(pause time.Duration) time.Duration {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return pause/2 + time.Duration(x.config.Rand.Int64N(int64(pause/2)))
--- a/internal/coordination/softstate/watch.go
+++ b/internal/coordination/softstate/watch.go
@@ -10,33 +10,33 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// firstRetry and lastRetry bound the pause before a lost stream is opened anew.
+// minRetryDelay and maxRetryDelay limit the delay before a lost stream is reopened.
 const (
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 500 * time.Millisecond
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 )
 
-// watch keeps a stream to one peer until ctx ends. Pauses grow and are spread,
-// so that the streams of a restarted peer do not all come back at once.
+// watch keeps a stream to one peer open until ctx ends. It backs off exponentially with
+// jitter, so that the streams to a restarted peer are not all reopened at the same time.
 func (x *Exchange) watch(ctx context.Context, peer string) {
-	retry := firstRetry
+	retry := minRetryDelay
 	for ctx.Err() == nil {
-		if heard := x.stay(ctx, peer); heard {
-			retry = firstRetry
+		if received := x.watchOnce(ctx, peer); received {
+			retry = minRetryDelay
 		}
 		streamsLost.Add(1)
-		control.Pause(ctx, x.spread(retry))
-		retry = min(2*retry, lastRetry)
+		control.Pause(ctx, x.jitter(retry))
+		retry = min(2*retry, maxRetryDelay)
 	}
 }
 
-// stay receives from a peer until the stream ends or the peer is silent for
-// longer than its timeout. It reports whether anything came.
-func (x *Exchange) stay(ctx context.Context, peer string) bool {
+// watchOnce receives batches from a peer until the stream ends or no batch has arrived
+// within the peer's timeout. It reports whether any batch was received.
+func (x *Exchange) watchOnce(ctx context.Context, peer string) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silent := time.AfterFunc(x.observer.Timeout(peer), cancel)
-	defer silent.Stop()
+	timeout := time.AfterFunc(x.observer.Timeout(peer), cancel)
+	defer timeout.Stop()
 	pings := &echo.Times{}
 	pings.RecordSent(1, time.Now())
 	incarnation, after := x.registry.Position(peer)
@@ -48,24 +48,24 @@
 	}
 	defer stream.Close()
 	go x.ping(ctx, stream, pings, watch.Renewals)
-	heard := false
+	received := false
 	for {
 		batch, err := stream.Receive()
 		if err == nil {
-			err = x.take(peer, batch, pings)
+			err = x.handleBatch(peer, batch, pings)
 		}
 		if err != nil {
-			return heard
+			return received
 		}
-		heard = true
-		silent.Reset(x.observer.Timeout(peer))
+		received = true
+		timeout.Reset(x.observer.Timeout(peer))
 	}
 }
 
-func (x *Exchange) take(peer string, batch *peerpb.SoftBatch, pings *echo.Times) error {
+func (x *Exchange) handleBatch(peer string, batch *peerpb.SoftBatch, pings *echo.Times) error {
 	at, ok := pings.SentAt(batch.Echo)
 	if !ok {
-		return failure.New(failure.WrongAnswer, "%s answered ping %d, which is not kept", peer, batch.Echo)
+		return failure.New(failure.WrongAnswer, "%s answered unknown ping %d", peer, batch.Echo)
 	}
 	batchesReceived.Add(1)
 	pings.Acknowledge(batch.Echo)
@@ -73,8 +73,8 @@
 	return x.registry.Receive(peer, batch, at)
 }
 
-// ping asks for a sign of life at a fixed pace, and at once where this instance
-// begins or ceases to want renewals.
+// ping sends a heartbeat at a fixed interval, and immediately when this instance starts or
+// stops wanting renewals.
 func (x *Exchange) ping(ctx context.Context, stream SourceStream, pings *echo.Times, renewals bool) {
 	ticker := time.NewTicker(x.config.PingEvery)
 	defer ticker.Stop()
