--- a/internal/coordination/standby/standby.go
+++ b/internal/coordination/standby/standby.go
@@ -1,7 +1,7 @@
-// Package standby is the node of an instance with a data folder: a replica of
-// the log and, as long as that is no member, a follower beside it. An instance
-// whose disk was wiped thus goes on serving callers until an operator adds its
-// new replica.
+// Package standby implements the control node of an instance with a data directory: a
+// replica of the log and, while that is not a member or not fresh, a follower as a
+// fallback. An instance whose disk was wiped thus continues to serve callers until an
+// operator adds its new replica.
 package standby
 
 import (
@@ -17,57 +17,57 @@
 	"pinewinch.example/pinewinch/internal/state/store"
 )
 
-// lookEvery is how often the replica is asked whether it is a member.
-const lookEvery = 100 * time.Millisecond
+// pollInterval is how often the replica is checked for being a fresh member.
+const pollInterval = 100 * time.Millisecond
 
-// Replica is the part that keeps the log.
+// Replica is a control node that stores the log.
 type Replica interface {
 	control.Node
-	// Member tells whether it is a member of the newest configuration.
+	// Member reports whether the replica is a member of the newest configuration.
 	Member() bool
-	// Status is the log's own view of itself.
+	// Status returns the replica's own view of the log.
 	Status() consensus.Status
 }
 
-// Node joins both.
+// Node combines a replica and a follower into one control node.
 type Node struct {
 	replica  Replica
 	follower control.Node
 	changed  control.Signal
-	// followerStopped is raised when the replica takes the follower's place.
+	// followerStopped is raised when the replica takes over from the follower.
 	followerStopped control.Signal
 }
 
-// New makes a node.
+// New creates a node.
 func New(replica Replica, follower control.Node) *Node {
 	return &Node{replica: replica, follower: follower}
 }
 
-// Run keeps the log until ctx ends, and follows others while outside of it.
+// Run runs the replica until ctx ends, and the follower while the replica is inactive.
 func (n *Node) Run(ctx context.Context) error {
-	working, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	go n.passChanges(working)
-	go n.followWhileOutside(working)
+	go n.forwardChanges(runCtx)
+	go n.followWhileReplicaInactive(runCtx)
 	return n.replica.Run(ctx)
 }
 
-// followWhileOutside runs the follower whenever the replica is no member or
-// not yet fresh.
-func (n *Node) followWhileOutside(ctx context.Context) {
+// followWhileReplicaInactive runs the follower whenever the replica is not a member or
+// not fresh.
+func (n *Node) followWhileReplicaInactive(ctx context.Context) {
 	for ctx.Err() == nil {
-		if n.inside() {
-			control.Pause(ctx, lookEvery)
+		if n.replicaActive() {
+			control.Pause(ctx, pollInterval)
 			continue
 		}
-		following, stop := context.WithCancel(ctx)
+		followerCtx, stop := context.WithCancel(ctx)
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			_ = n.follower.Run(following)
+			_ = n.follower.Run(followerCtx)
 		}()
-		for ctx.Err() == nil && !n.inside() {
-			control.Pause(ctx, lookEvery)
+		for ctx.Err() == nil && !n.replicaActive() {
+			control.Pause(ctx, pollInterval)
 		}
 		stop()
 		if ctx.Err() == nil {
@@ -77,10 +77,10 @@
 	}
 }
 
-func (n *Node) inside() bool { return n.replica.Member() && n.replica.Fresh() == nil }
+func (n *Node) replicaActive() bool { return n.replica.Member() && n.replica.Fresh() == nil }
 
-// passChanges wakes who waits for either part.
-func (n *Node) passChanges(ctx context.Context) {
+// forwardChanges raises changed whenever the state of the replica or follower changes.
+func (n *Node) forwardChanges(ctx context.Context) {
 	for {
 		replica, follower := n.replica.Changed(), n.follower.Changed()
 		n.changed.Raise()
@@ -93,7 +93,7 @@
 	}
 }
 
-// State is the newer of both. Neither goes back, so it doesn't either.
+// State returns the newer of both states. Its index never decreases, since neither does.
 func (n *Node) State() *store.State {
 	own, followed := n.replica.State(), n.follower.State()
 	if followed.Index() > own.Index() {
@@ -102,8 +102,8 @@
 	return own
 }
 
-// Fresh fails while neither part is fresh. A fresh part's state is no newer
-// than what State gives.
+// Fresh fails while neither the replica nor the follower is fresh. The state that State
+// returns is at least as new as that of a fresh one.
 func (n *Node) Fresh() error {
 	if n.replica.Fresh() == nil {
 		return nil
@@ -111,15 +111,15 @@
 	return n.follower.Fresh()
 }
 
-// Changed gives a channel that is closed when the state next changes.
+// Changed returns a channel that is closed at the next change of the state.
 func (n *Node) Changed() <-chan struct{} { return n.changed.Next() }
 
-// Propose commits one command by way of the leader.
+// Propose commits one command through the leader.
 func (n *Node) Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
-	return n.acting().Propose(ctx, command)
+	return n.active().Propose(ctx, command)
 }
 
-// Leader names the instance that leads, as far as is known.
+// Leader returns the name of the leader, or "" if it is not known.
 func (n *Node) Leader() string {
 	if leader := n.replica.Leader(); leader != "" {
 		return leader
@@ -127,64 +127,65 @@
 	return n.follower.Leader()
 }
 
-// IsLeader tells whether this instance leads.
+// IsLeader reports whether this instance is the leader.
 func (n *Node) IsLeader() bool { return n.replica.IsLeader() }
 
-// Member tells whether the replica is a member of the newest configuration.
+// Member reports whether the replica is a member of the newest configuration.
 func (n *Node) Member() bool { return n.replica.Member() }
 
-// Status is the replica's own view of the log.
+// Status returns the replica's own view of the log.
 func (n *Node) Status() consensus.Status { return n.replica.Status() }
 
-// Term numbers the leaderships of the log as far as this replica knows.
+// Term returns the newest consensus term known to this replica.
 func (n *Node) Term() uint64 { return n.replica.Status().Term }
 
-// ServePropose answers a command that another instance sent.
+// ServePropose handles a command forwarded by another instance.
 func (n *Node) ServePropose(ctx context.Context, propose *peerpb.Propose) (*controlpb.Result, error) {
-	return n.acting().ServePropose(ctx, propose)
+	return n.active().ServePropose(ctx, propose)
 }
 
-// ServeFollow sends another instance the log.
+// ServeFollow streams the log to another instance.
 func (n *Node) ServeFollow(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error {
 	stopped := n.followerStopped.Next()
 	if n.replica.Fresh() == nil {
 		return n.replica.ServeFollow(ctx, follow, stream)
 	}
-	return n.serveFollowed(ctx, stopped, follow, stream)
+	return n.serveFromFollower(ctx, stopped, follow, stream)
 }
 
-// serveFollowed sends what the follower has until that stops. A session that went on
-// would send a state that only grows old, and all who follow it would lose it at the
-// same moment, stale. Ended while they are fresh, they search and find the replica.
-func (n *Node) serveFollowed(ctx context.Context, stopped <-chan struct{}, follow *peerpb.Follow, stream control.Stream) error {
+// serveFromFollower streams the follower's state until the follower stops. A session that
+// continued would stream a state that only gets older, and all its followers would become
+// stale at the same time. If it ends while they are still fresh, they search again and find
+// the replica.
+func (n *Node) serveFromFollower(ctx context.Context, stopped <-chan struct{}, follow *peerpb.Follow, stream control.Stream) error {
 	serving, end := control.WithDone(ctx, stopped)
 	defer end()
 	err := n.follower.ServeFollow(serving, follow, stream)
 	select {
 	case <-stopped:
-		return failure.New(failure.NotReady, "the replica here is fresh again: follow it anew")
+		return failure.New(failure.NotReady, "the replica of this instance is fresh again: reconnect to follow it")
 	default:
 		return err
 	}
 }
 
-// ServeReplica answers the calls that replicas make among themselves.
+// ServeReplica handles a call from another replica.
 func (n *Node) ServeReplica(ctx context.Context, call *peerpb.Call) (*peerpb.Reply, error) {
 	return n.replica.ServeReplica(ctx, call)
 }
 
-// ChangeMembers changes who keeps the log.
+// ChangeMembers changes the membership of the consensus group.
 func (n *Node) ChangeMembers(ctx context.Context, change *peerpb.ChangeMembers) error {
-	return n.acting().ChangeMembers(ctx, change)
+	return n.active().ChangeMembers(ctx, change)
 }
 
-// Role is the replica's part in the log.
+// Role returns the replica's role in the consensus group.
 func (n *Node) Role() string { return n.replica.Role() }
 
-// Deliver takes one consensus message.
+// Deliver passes one consensus message to the replica.
 func (n *Node) Deliver(message *consensuspb.Message) { n.replica.Deliver(message) }
 
-func (n *Node) acting() control.Node {
+func (n *Node) active() control.Node {
 	if n.replica.Member() {
 		return n.replica
 	}
--- a/internal/coordination/standby/standby_test.go
+++ b/internal/coordination/standby/standby_test.go
@@ -23,57 +23,58 @@
 
 const (
 	bound = 3 * time.Second
-	// partConfirms is how often a part that runs confirms its state.
-	partConfirms = bound / 10
-	// comesBack is how long a follower takes at most to find its source again: one
-	// look at the replica, and the pause after a search that found none.
-	comesBack = lookEvery + 50*time.Millisecond
+	// confirmInterval is how often a running fake node confirms its state.
+	confirmInterval = bound / 10
+	// maxReattachTime is the longest time until a follower has attached to its source
+	// again: one poll of the replica, and the delay after an unsuccessful search.
+	maxReattachTime = pollInterval + 50*time.Millisecond
 )
 
-// A core's replica is behind after a restart, so the core follows another one and
-// serves its state on. Once the replica is fresh the core stops following, and what
-// it followed grows old. An instance that goes on with that old state would lose its
-// source a freshness bound later and refuse its callers with stale_state, though the
-// core has a fresh state all the time. It must come back and get that instead.
+// The replica of an instance lags after a restart, so the instance follows another one and
+// relays its state. Once the replica is fresh, the instance stops following, and the
+// followed state gets older. An instance that continued to follow that state would lose its
+// source a freshness bound later and refuse callers with stale_state, although its source
+// has a fresh state all the time. It must reattach and receive the replica's state.
 func TestFollowersGoOnWhenTheReplicaIsFreshAgain(t *testing.T) {
 	inBubble(t, func(is *is.I, ctx context.Context) {
-		core := startCore(ctx)
-		front := core.followedBy(ctx, "front")
+		testNode := startTestNode(ctx)
+		diskless := testNode.startFollower(ctx, "front")
 		time.Sleep(2 * bound)
-		is.NoErr(front.Fresh())
-		is.Equal(core.follower.sessions.Load(), int64(1))
+		is.NoErr(diskless.Fresh())
+		is.Equal(testNode.follower.sessions.Load(), int64(1))
 
-		core.replica.catchUp(ctx)
+		testNode.replica.catchUp(ctx)
 		caughtUp := time.Now()
-		time.Sleep(comesBack)
+		time.Sleep(maxReattachTime)
 		synctest.Wait()
-		is.Equal(core.follower.sessions.Load(), int64(0))
-		is.Equal(core.replica.sessions.Load(), int64(1))
+		is.Equal(testNode.follower.sessions.Load(), int64(0))
+		is.Equal(testNode.replica.sessions.Load(), int64(1))
 		for time.Since(caughtUp) < 2*bound {
 			time.Sleep(10 * time.Millisecond)
-			is.NoErr(front.Fresh())
+			is.NoErr(diskless.Fresh())
 		}
 	})
 }
 
-// The core changes over while it serves an instance. The session ends while its state
-// is still fresh, and its end says that the source is there to be followed again.
+// The replica takes over while the follower's state is served to an instance. The session
+// must end while that state is still fresh, with an error that invites the instance to
+// follow the source again.
 func TestSessionOfTheFollowerEndsWithAReason(t *testing.T) {
 	inBubble(t, func(is *is.I, ctx context.Context) {
-		core := startCore(ctx)
+		testNode := startTestNode(ctx)
 		time.Sleep(bound)
 		ended := make(chan error, 1)
 		go func() {
-			ended <- core.node.ServeFollow(ctx, &peerpb.Follow{Instance: "front"}, newPipe(ctx))
+			ended <- testNode.node.ServeFollow(ctx, &peerpb.Follow{Instance: "front"}, newPipe(ctx))
 		}()
 		time.Sleep(bound)
 		is.Equal(len(ended), 0)
-		core.replica.catchUp(ctx)
-		time.Sleep(lookEvery)
+		testNode.replica.catchUp(ctx)
+		time.Sleep(pollInterval)
 		synctest.Wait()
 		is.Equal(len(ended), 1)
 		is.True(failure.Is(<-ended, failure.NotReady))
-		is.NoErr(core.follower.Fresh())
+		is.NoErr(testNode.follower.Fresh())
 	})
 }
 
@@ -85,35 +86,35 @@
 	})
 }
 
-// core is a node whose replica has yet to catch up.
-type core struct {
+// testNode is a node whose replica has not caught up yet.
+type testNode struct {
 	node     *Node
-	replica  *part
-	follower *part
+	replica  *fakeNode
+	follower *fakeNode
 }
 
-func startCore(ctx context.Context) *core {
-	c := &core{replica: newPart("core"), follower: newPart("other", "core")}
+func startTestNode(ctx context.Context) *testNode {
+	c := &testNode{replica: newFakeNode("core"), follower: newFakeNode("other", "core")}
 	c.node = New(c.replica, c.follower)
 	go func() { _ = c.node.Run(ctx) }()
 	return c
 }
 
-// followedBy starts an instance without a disk that knows this core only.
-func (c *core) followedBy(ctx context.Context, name string) *follower.Follower {
+// startFollower starts an instance without a disk that knows this node only.
+func (c *testNode) startFollower(ctx context.Context, name string) *follower.Follower {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	front := follower.New(follower.Config{
+	diskless := follower.New(follower.Config{
 		Self: follower.Candidate{Name: name}, Voters: []string{"core"}, FreshnessBound: bound, ElectionTimeout: bound,
 		Candidates: func() []follower.Candidate { return nil },
 		Rand:       rand.New(rand.NewPCG(1, 1)), Logger: logger,
-	}, peersOf{core: c})
-	go func() { _ = front.Run(ctx) }()
-	return front
+	}, peersOf{testNode: c})
+	go func() { _ = diskless.Run(ctx) }()
+	return diskless
 }
 
-// part is a replica or a follower whose state is empty and confirmed while it works.
-type part struct {
+// fakeNode is a replica or a follower with an empty state, which it confirms while active.
+type fakeNode struct {
 	control.Node
 	*control.PublishedState
 	path      []string
@@ -122,39 +123,40 @@
 	sessions  atomic.Int64
 }
 
-func newPart(path ...string) *part {
-	p := &part{PublishedState: control.NewPublishedState(), path: path}
+func newFakeNode(path ...string) *fakeNode {
+	p := &fakeNode{PublishedState: control.NewPublishedState(), path: path}
 	p.feed = feed.NewServer(p)
 	return p
 }
 
-// Run is the follower's work; the replica's takes part but confirms nothing.
-func (p *part) Run(ctx context.Context) error {
+// Run confirms the state of a follower. The state of a replica is confirmed only after
+// catchUp.
+func (p *fakeNode) Run(ctx context.Context) error {
 	if len(p.path) == 1 {
 		<-ctx.Done()
 		return nil
 	}
-	p.work(ctx)
+	p.confirmUntilDone(ctx)
 	return nil
 }
 
-// catchUp makes the replica fresh from now on.
-func (p *part) catchUp(ctx context.Context) {
+// catchUp makes the replica fresh until ctx ends.
+func (p *fakeNode) catchUp(ctx context.Context) {
 	p.confirm()
-	go p.work(ctx)
+	go p.confirmUntilDone(ctx)
 }
 
-func (p *part) work(ctx context.Context) {
+func (p *fakeNode) confirmUntilDone(ctx context.Context) {
 	p.confirm()
-	control.Every(ctx, partConfirms, p.confirm)
+	control.Every(ctx, confirmInterval, p.confirm)
 }
 
-func (p *part) confirm() {
+func (p *fakeNode) confirm() {
 	now := time.Now()
 	p.confirmed.Store(&now)
 }
 
-func (p *part) Age() (time.Duration, error) {
+func (p *fakeNode) Age() (time.Duration, error) {
 	confirmed := p.confirmed.Load()
 	if confirmed == nil || time.Since(*confirmed) > bound {
 		return 0, failure.New(failure.StaleState, "not confirmed")
@@ -162,37 +164,37 @@
 	return time.Since(*confirmed), nil
 }
 
-func (p *part) Fresh() error {
+func (p *fakeNode) Fresh() error {
 	_, err := p.Age()
 	return err
 }
 
-func (p *part) State() *store.State      { return p.PublishedState.State() }
-func (p *part) Changed() <-chan struct{} { return p.PublishedState.Changed() }
-func (p *part) Leader() string           { return "other" }
-func (p *part) Path() []string           { return p.path }
-func (p *part) Member() bool             { return true }
-func (p *part) Status() consensus.Status { return consensus.Status{} }
+func (p *fakeNode) State() *store.State      { return p.PublishedState.State() }
+func (p *fakeNode) Changed() <-chan struct{} { return p.PublishedState.Changed() }
+func (p *fakeNode) Leader() string           { return "other" }
+func (p *fakeNode) Path() []string           { return p.path }
+func (p *fakeNode) Member() bool             { return true }
+func (p *fakeNode) Status() consensus.Status { return consensus.Status{} }
 
-func (p *part) ServeFollow(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error {
+func (p *fakeNode) ServeFollow(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error {
 	p.sessions.Add(1)
 	defer p.sessions.Add(-1)
 	return p.feed.Serve(ctx, follow, stream)
 }
 
-// peersOf reaches one core.
+// peersOf connects to one node.
 type peersOf struct {
 	follower.Peers
-	core *core
+	testNode *testNode
 }
 
 func (p peersOf) Follow(ctx context.Context, _ string, follow *peerpb.Follow) (control.SourceStream, error) {
 	stream := newPipe(ctx)
 	go func() {
 		defer stream.cancel()
-		_ = p.core.node.ServeFollow(stream.ctx, follow, stream)
+		_ = p.testNode.node.ServeFollow(stream.ctx, follow, stream)
 	}()
-	return following{stream}, nil
+	return followerEnd{stream}, nil
 }
 
 // pipe is both ends of a stream.
@@ -208,18 +210,18 @@
 	return &pipe{ctx: ctx, cancel: cancel, pings: make(chan *peerpb.FollowPing, 100), batches: make(chan *peerpb.FollowBatch, 100)}
 }
 
-func (p *pipe) Send(batch *peerpb.FollowBatch) error { return pass(p.ctx, p.batches, batch) }
-func (p *pipe) Receive() (*peerpb.FollowPing, error) { return take(p.ctx, p.pings) }
+func (p *pipe) Send(batch *peerpb.FollowBatch) error { return send(p.ctx, p.batches, batch) }
+func (p *pipe) Receive() (*peerpb.FollowPing, error) { return receive(p.ctx, p.pings) }
 
-// following is the stream's end of the instance that follows.
-type following struct{ *pipe }
+// followerEnd is the follower's end of a stream.
+type followerEnd struct{ *pipe }
 
-func (f following) Send(ping *peerpb.FollowPing) error    { return pass(f.ctx, f.pings, ping) }
-func (f following) Receive() (*peerpb.FollowBatch, error) { return take(f.ctx, f.batches) }
-func (f following) BytesReceived() uint64                 { return 0 }
-func (f following) Close() error                          { f.cancel(); return nil }
+func (f followerEnd) Send(ping *peerpb.FollowPing) error    { return send(f.ctx, f.pings, ping) }
+func (f followerEnd) Receive() (*peerpb.FollowBatch, error) { return receive(f.ctx, f.batches) }
+func (f followerEnd) BytesReceived() uint64                 { return 0 }
+func (f followerEnd) Close() error                          { f.cancel(); return nil }
 
-func pass[T any](ctx context.Context, to chan<- T, message T) error {
+func send[T any](ctx context.Context, to chan<- T, message T) error {
 	select {
 	case to <- message:
 		return nil
@@ -228,7 +230,7 @@
 	}
 }
 
-func take[T any](ctx context.Context, from <-chan T) (message T, err error) {
+func receive[T any](ctx context.Context, from <-chan T) (message T, err error) {
 	select {
 	case message = <-from:
 		return message, nil
