--- a/internal/coordination/operators/operators.go
+++ b/internal/coordination/operators/operators.go
@@ -1,4 +1,5 @@
-// Package operators puts whole sets of declarations in force and reads the newest.
+// Package operators replaces the full set of declarations on behalf of operators and
+// reads the newest one.
 package operators
 
 import (
@@ -13,21 +14,21 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// patience bounds one call: an operator asks another instance after a second.
-const patience = 900 * time.Millisecond
+// callTimeout limits one call: an operator's client tries another instance after a second.
+const callTimeout = 900 * time.Millisecond
 
-// Desk serves the operators of one instance.
+// Desk serves the operators' requests at one instance.
 type Desk struct {
 	log    control.Log
 	logger *logrus.Logger
 }
 
-// NewDesk makes a desk.
+// NewDesk creates a Desk.
 func NewDesk(log control.Log, logger *logrus.Logger) *Desk { return &Desk{log: log, logger: logger} }
 
-// Replace commits a set of declarations. One with a fault is refused whole,
-// whatever its version; one that a higher version has overtaken is acknowledged
-// and changes nothing, so that a resend is never refused.
+// Replace commits a set of declarations. A set with an invalid item is refused as a whole
+// with bad_declaration, whatever its version. A set that a higher version has superseded is
+// acknowledged and changes nothing, so that a resend is never refused.
 func (d *Desk) Replace(ctx context.Context, change *controlpb.ReplaceDeclarations) error {
 	entry := d.logger.WithField("version", change.Document.Version)
 	if violations := declaration.CheckDocument(change.Items); len(violations) > 0 {
@@ -35,7 +36,7 @@
 		entry.WithFields(logrus.Fields{"item": first.Item, "field": first.Field, "reason": first.Reason}).Warn("declarations refused")
 		return failure.New(failure.BadDeclaration, "%s %s: %s", first.Item, first.Field, first.Reason)
 	}
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	result, err := d.log.Propose(ctx, &controlpb.Command{Op: &controlpb.Command_Replace{Replace: change}})
 	if err != nil {
@@ -46,13 +47,13 @@
 	return nil
 }
 
-// Read gives the newest document. It fails where this instance cannot be sure
-// which that is.
+// Read returns the newest document. It fails with stale_state if this instance cannot
+// determine which is the newest, and with not_ready if there is none yet.
 func (d *Desk) Read(ctx context.Context) (*controlpb.Document, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if err := control.Read(ctx, d.log); err != nil {
-		// A read has no outcome to be unsure of: the operator asks elsewhere.
+		// A read has no unknown outcome: the operator's client can retry elsewhere.
 		return nil, failure.Wrap(failure.StaleState, err, "the newest declarations are not known")
 	}
 	document := d.log.State().Document()
