--- a/internal/state/store/apply.go
+++ b/internal/state/store/apply.go
@@ -7,53 +7,56 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Bounds of what the state keeps; each ends by a command's time, never by a clock.
+// Retention limits of the state. They are compared with the time that commands carry,
+// never with a clock, so that all replicas expire the same records.
 const (
-	// endedJobLife is how long an ended job can be looked up.
-	endedJobLife = 24 * time.Hour
-	// healthLife is how long a worker's failures stand after the newest.
-	healthLife = 24 * time.Hour
-	// occurrenceLife is how long a removed entry's last occurrence is kept, in
+	// endedJobRetention is how long an ended job can be looked up.
+	endedJobRetention = 24 * time.Hour
+	// healthRetention is how long a worker's failures are kept after the newest one.
+	healthRetention = 24 * time.Hour
+	// occurrenceRetention is how long the last occurrence of a removed entry is kept, in
 	// case the entry is declared again.
-	occurrenceLife = 45 * 24 * time.Hour
-	// expireEvery is how many entries lie between two clean-ups; it counts
-	// indexes, so that every replica cleans up at the same ones.
-	expireEvery = 256
-	// maxExpiredPerApply bounds the work of one apply.
+	occurrenceRetention = 45 * 24 * time.Hour
+	// expireInterval is the number of log entries between two expiry passes. It counts
+	// indexes, so that every replica expires records at the same index.
+	expireInterval = 256
+	// maxExpiredPerApply limits the records of each kind that one pass removes, and so
+	// the duration of one apply.
 	maxExpiredPerApply = 64
 )
 
-// Apply gives the state after the command at that index, and its result. A
-// command that fails changes nothing but the index and the client's session.
+// Apply returns the state after the command at the given log index, and the command's
+// result. A command that fails changes only the index, the time and the client's session.
 func (s *State) Apply(index uint64, command *controlpb.Command) (*State, *controlpb.Result) {
 	next := *s
 	next.index = index
 	next.timeMs = max(s.timeMs, command.TimeMs)
-	if result, done := next.resent(index, command); done {
+	if result, done := next.storedResult(index, command); done {
 		return &next, result
 	}
 	result := next.apply(command)
 	result.Index = index
 	result.Revision = next.revision
-	next.remember(command, result)
-	if index%expireEvery == 0 {
-		next.expire()
+	next.storeResult(command, result)
+	if index%expireInterval == 0 {
+		next.expireAll()
 	}
 	return &next, result
 }
 
-// Understands tells whether this process knows what the command does. A newer
-// process may have proposed it; to pass over it here would make this state
-// differ from the others' for good, so that the caller must stop instead. New
-// fields of known commands must not change what an older process makes of them.
+// Understands reports whether this version supports the command. A process of a newer
+// version may have proposed it; skipping it would make this replica's state diverge
+// permanently, so the caller must stop instead. New fields of known commands must not
+// change how an older version applies them.
 func Understands(command *controlpb.Command) bool {
 	return command.Op != nil || len(command.ProtoReflect().GetUnknown()) == 0
 }
 
-// Idempotent tells whether a second run of the command leaves the state as the first
-// one did and is answered alike: it may be sent again whatever became of it. A workflow
-// is known by its id for minutes after its end, far longer than any caller waits.
-// Under a client session the session answers a second run.
+// Idempotent reports whether applying the command twice leaves the same state and gives
+// the same result as applying it once, so that it may be retried after an unknown
+// outcome. This holds for workflows because an ended workflow is kept by its id for
+// minutes, far longer than any caller waits. Commands under a client session are not
+// included: the session deduplicates them.
 func Idempotent(command *controlpb.Command) bool {
 	if command == nil || command.Client != "" {
 		return false
@@ -62,7 +65,7 @@
 	case *controlpb.Command_SubmitWorkflow, *controlpb.Command_CancelWorkflow:
 		return true
 	case nil:
-		// A read through the log.
+		// A read through the log has no operation.
 		return Understands(command)
 	}
 	return false
@@ -83,7 +86,7 @@
 	case *controlpb.Command_Finish:
 		return s.finishTasks(op.Finish)
 	case *controlpb.Command_Claims:
-		return s.takeClaims(op.Claims)
+		return s.acquireClaims(op.Claims)
 	case *controlpb.Command_Settles:
 		return s.settleClaims(op.Settles)
 	case *controlpb.Command_Drain:
@@ -108,26 +111,26 @@
 	return &controlpb.Result{}
 }
 
-// expire drops sessions, claims and ended jobs past their life.
-func (s *State) expire() {
+// expireAll removes records that are past their retention.
+func (s *State) expireAll() {
 	s.expireSessions()
 	s.expireClaims(maxExpiredPerApply)
-	oldJob := s.timeMs - endedJobLife.Milliseconds()
+	oldJob := s.timeMs - endedJobRetention.Milliseconds()
 	s.jobs = expire(s.jobs, func(j *controlpb.Job) bool { return Ended(j.State) && j.EndedMs < oldJob })
-	s.workflows = expire(s.workflows, s.oldWorkflow)
-	s.health = expire(s.health, s.oldHealth)
-	s.occurrences = expire(s.occurrences, s.oldOccurrence)
+	s.workflows = expire(s.workflows, s.workflowExpired)
+	s.health = expire(s.health, s.healthExpired)
+	s.occurrences = expire(s.occurrences, s.occurrenceExpired)
 }
 
-func expire[T any](t *table[T], old func(T) bool) *table[T] {
+func expire[T any](t *table[T], expired func(T) bool) *table[T] {
 	txn := t.Txn()
-	dropped := 0
+	removed := 0
 	t.Root().Walk(func(key []byte, value T) bool {
-		if old(value) {
+		if expired(value) {
 			txn.Delete(key)
-			dropped++
+			removed++
 		}
-		return dropped >= maxExpiredPerApply
+		return removed >= maxExpiredPerApply
 	})
 	return txn.Commit()
 }
--- a/internal/state/store/bytes_bench_test.go
+++ b/internal/state/store/bytes_bench_test.go
@@ -10,7 +10,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// BenchmarkBytes gives what one item of the state costs in memory and in a
+// BenchmarkBytes measures the bytes that one item of the state takes in memory and in a
 // snapshot, for docs/CAPACITY.md.
 func BenchmarkBytes(b *testing.B) {
 	placed := func(tasks int) func(n int) *controlpb.Command {
@@ -54,12 +54,12 @@
 func measureBytes(b *testing.B, command func(n int) *controlpb.Command) {
 	const items = 4000
 	for b.Loop() {
-		before := heap()
+		before := heapBytes()
 		state := New()
 		for n := range items {
 			state, _ = state.Apply(uint64(n+1), command(n))
 		}
-		inMemory := (heap() - before) / items
+		inMemory := (heapBytes() - before) / items
 		inSnapshot := float64(proto.Size(state.Snapshot())) / items
 		b.ReportMetric(inMemory, "B/item")
 		b.ReportMetric(inSnapshot, "snapshot-B/item")
--- a/internal/state/store/claims.go
+++ b/internal/state/store/claims.go
@@ -9,56 +9,56 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// takeClaims answers every claim of a batch on its own.
-func (s *State) takeClaims(op *controlpb.ClaimRequests) *controlpb.Result {
+// acquireClaims handles every claim of a batch independently.
+func (s *State) acquireClaims(op *controlpb.ClaimRequests) *controlpb.Result {
 	result := &controlpb.Result{}
-	for _, wanted := range op.Claims {
-		result.Claims = append(result.Claims, s.takeClaim(wanted))
+	for _, requested := range op.Claims {
+		result.Claims = append(result.Claims, s.acquireClaim(requested))
 	}
 	s.expireClaims(expiredPerClaim * len(op.Claims))
 	return result
 }
 
-// takeClaim gives the right to run a request to the first that asks. Everyone
-// else with the same key and body gets the claim as it stands; another body
-// under the key is refused, for the caller would get the wrong answer.
+// acquireClaim gives the right to run a request to the first claimant. Later claimants
+// with the same key and body get the existing claim; a different body under the same
+// key is refused, because its caller would get the answer to another request.
 //
-// An attempt is taken only right after its predecessor, and only where that
-// one surely did not run. A proposal that was delayed or delivered twice names
-// an attempt that is used up, and so gives nobody a second right to run.
-func (s *State) takeClaim(wanted *controlpb.Claim) *controlpb.ClaimResult {
-	existing, ok := s.Claim(wanted.Customer, wanted.Key)
+// An attempt is accepted only if it directly follows the previous attempt and that one
+// certainly did not run. A delayed or duplicated proposal names an attempt that has been
+// consumed, so it can't grant the right to run a second time.
+func (s *State) acquireClaim(requested *controlpb.Claim) *controlpb.ClaimResult {
+	existing, ok := s.Claim(requested.Customer, requested.Key)
 	if !ok {
-		return s.firstClaim(wanted)
+		return s.firstClaim(requested)
 	}
-	if !SameRequest(existing, wanted) {
+	if !SameRequest(existing, requested) {
 		return claimRefusal(failure.KeyReused, "the key was used for another request")
 	}
-	if claimable(existing, wanted.Attempt) {
-		return &controlpb.ClaimResult{Claim: s.insertClaim(wanted)}
+	if canFollow(existing, requested.Attempt) {
+		return &controlpb.ClaimResult{Claim: s.insertClaim(requested)}
 	}
-	return &controlpb.ClaimResult{Claim: s.orphan(existing)}
+	return &controlpb.ClaimResult{Claim: s.expirePending(existing)}
 }
 
-func (s *State) firstClaim(wanted *controlpb.Claim) *controlpb.ClaimResult {
-	if s.keySpent(wanted.Customer, wanted.Key) {
+func (s *State) firstClaim(requested *controlpb.Claim) *controlpb.ClaimResult {
+	if s.isSpentKey(requested.Customer, requested.Key) {
 		return claimRefusal(failure.KeyExpired, "the key was used before; what became of it is no longer kept")
 	}
-	if wanted.Attempt != 1 {
+	if requested.Attempt != 1 {
 		return &controlpb.ClaimResult{Claim: &controlpb.Claim{Outcome: controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN}}
 	}
-	if _, timed := keyTime(wanted.Key); !timed && s.spentKeysFull(wanted.Customer) {
+	if _, hasTime := keyTime(requested.Key); !hasTime && s.spentKeysFull(requested.Customer) {
 		return claimRefusal(failure.LimitReached, "too many spent keys that carry no time; use ULIDs as keys")
 	}
-	return &controlpb.ClaimResult{Claim: s.insertClaim(wanted)}
+	return &controlpb.ClaimResult{Claim: s.insertClaim(requested)}
 }
 
-// orphan turns a claim whose holder must have given up into an unknown outcome,
-// so that nobody waits for a dead instance. A holder that was only frozen may
-// still send: that is why the outcome never becomes NOT_RUN here, and why an
-// unknown outcome lets nobody else run. The clocks compared may be wrong by any
-// amount; they decide when a caller is told "unknown", never what is run.
-func (s *State) orphan(claim *controlpb.Claim) *controlpb.Claim {
+// expirePending sets the outcome of a claim to UNKNOWN once its holder must have given
+// up, so that no caller waits for a failed instance. A holder that was only paused may
+// still send the request: therefore the outcome never becomes NOT_RUN here, and an
+// unknown outcome permits no further attempt. The clocks compared may be off by any
+// amount; they only decide when a caller gets "unknown", never what is run.
+func (s *State) expirePending(claim *controlpb.Claim) *controlpb.Claim {
 	if claim.Outcome != controlpb.ClaimOutcome_CLAIM_OUTCOME_PENDING || s.timeMs <= claim.PendingUntilMs {
 		return claim
 	}
@@ -69,8 +69,8 @@
 	return claim
 }
 
-// settleClaims records every outcome of a batch on its own. A settle that
-// comes too late or twice changes nothing, so nobody need be told.
+// settleClaims records every outcome of a batch independently. A late or duplicate
+// outcome changes nothing, so the result carries no per-item errors.
 func (s *State) settleClaims(op *controlpb.SettleClaims) *controlpb.Result {
 	for _, settle := range op.Settles {
 		s.settleClaim(settle)
@@ -78,20 +78,20 @@
 	return &controlpb.Result{}
 }
 
-// settleClaim records what became of one attempt. Only that attempt's own
-// proposer knows its id. An unknown outcome may still become a known one.
+// settleClaim records the outcome of one attempt. Only the proposer of the attempt knows
+// its id. An unknown outcome may still be replaced by a known one.
 func (s *State) settleClaim(op *controlpb.SettleClaim) {
 	claim, ok := s.Claim(op.Customer, op.Key)
 	if ok && claim.Attempt == op.Attempt && claim.Id == op.Id {
-		s.closeClaim(claim, op)
+		s.recordOutcome(claim, op)
 		return
 	}
 	if op.Abandoned != nil {
-		s.useUpAttempt(claim, op.Abandoned)
+		s.consumeAttempt(claim, op.Abandoned)
 	}
 }
 
-func (s *State) closeClaim(claim *controlpb.Claim, op *controlpb.SettleClaim) {
+func (s *State) recordOutcome(claim *controlpb.Claim, op *controlpb.SettleClaim) {
 	switch claim.Outcome {
 	case controlpb.ClaimOutcome_CLAIM_OUTCOME_PENDING, controlpb.ClaimOutcome_CLAIM_OUTCOME_UNKNOWN:
 	default:
@@ -104,14 +104,14 @@
 	s.putClaim(claim)
 }
 
-// useUpAttempt keeps a claim that its proposer gave up from being taken when
-// its proposal arrives after all: it would stand for ever with nobody to run
-// it, and hold up every resend.
-func (s *State) useUpAttempt(existing, abandoned *controlpb.Claim) {
-	if existing == nil && s.keySpent(abandoned.Customer, abandoned.Key) {
+// consumeAttempt marks an attempt that its proposer abandoned as not run, so that the
+// proposal isn't accepted if it is delivered later: the claim would stay pending with
+// nobody to run it and block every resend.
+func (s *State) consumeAttempt(existing, abandoned *controlpb.Claim) {
+	if existing == nil && s.isSpentKey(abandoned.Customer, abandoned.Key) {
 		return
 	}
-	if existing != nil && !(SameRequest(existing, abandoned) && claimable(existing, abandoned.Attempt)) {
+	if existing != nil && !(SameRequest(existing, abandoned) && canFollow(existing, abandoned.Attempt)) {
 		return
 	}
 	abandoned = proto.CloneOf(abandoned)
@@ -119,12 +119,12 @@
 	s.insertClaim(abandoned)
 }
 
-// claimable tells whether an attempt may follow the claim as it stands.
-func claimable(existing *controlpb.Claim, attempt uint64) bool {
+// canFollow reports whether the attempt may follow the existing claim.
+func canFollow(existing *controlpb.Claim, attempt uint64) bool {
 	return existing.Outcome == controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN && attempt == existing.Attempt+1
 }
 
-// SameRequest tells whether two claims under one key are for one request.
+// SameRequest reports whether two claims under one key are for the same request.
 func SameRequest(a, b *controlpb.Claim) bool {
 	return a.Service == b.Service && bytes.Equal(a.BodyHash, b.BodyHash)
 }
--- a/internal/state/store/claims_bench_test.go
+++ b/internal/state/store/claims_bench_test.go
@@ -8,28 +8,28 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkClaimMemory gives the bytes of a kept claim and of a spent key.
+// BenchmarkClaimMemory measures the bytes of a retained claim and of a spent key.
 func BenchmarkClaimMemory(b *testing.B) {
 	const count = 200_000
 	for range b.N {
-		before := heap()
+		before := heapBytes()
 		state := stateAt(testStart)
 		for n := range count {
 			claim := claimOf(fmt.Sprintf("order-%d", n), 1, "01M8W1D6B3NN436GYXQEJG0T8B")
 			claim.BodyHash, claim.Service, claim.Instance = make([]byte, 32), "cut-order", "i1"
-			state.takeClaims(&controlpb.ClaimRequests{Claims: []*controlpb.Claim{claim}})
+			state.acquireClaims(&controlpb.ClaimRequests{Claims: []*controlpb.Claim{claim}})
 		}
-		kept := heap()
-		state.timeMs += 2 * claimLife.Milliseconds()
+		kept := heapBytes()
+		state.timeMs += 2 * claimRetention.Milliseconds()
 		state.expireClaims(count)
-		spent := heap()
+		spent := heapBytes()
 		runtime.KeepAlive(state)
 		b.ReportMetric((kept-before)/count, "B/claim")
 		b.ReportMetric((spent-before)/count, "B/spent-key")
--- a/internal/state/store/claims_test.go
+++ b/internal/state/store/claims_test.go
@@ -16,9 +16,8 @@
 
 const testStart = 1_800_000_000_000
 
-// claimModel is several instances that call with one key. Commands are
-// delayed, swapped and delivered twice, for as long as a proposal can be on
-// its way.
+// claimModel models several instances that send requests with one key. Commands are
+// delayed, reordered and duplicated for as long as a proposal can be in flight.
 type claimModel struct {
 	state    *State
 	views    []*State
@@ -31,7 +30,7 @@
 
 type claimMessage struct {
 	command *controlpb.Command
-	made    int64
+	sentMs  int64
 	caller  int
 }
 
@@ -68,7 +67,7 @@
 func (m *claimModel) deliver(t *rapid.T) {
 	recent := m.messages[max(0, len(m.messages)-6):]
 	message := rapid.SampledFrom(recent).Draw(t, "message")
-	if m.now-message.made > (30 * time.Minute).Milliseconds() {
+	if m.now-message.sentMs > (30 * time.Minute).Milliseconds() {
 		return
 	}
 	result := m.apply(message.command)
@@ -103,10 +102,10 @@
 	m.messages = append(m.messages, claimMessage{command, m.now, number})
 }
 
-// Callers resend one key at several instances, each with its own old view of
-// the log. Claims and outcomes arrive late, swapped and twice, claimants freeze
-// and go on, claims expire. Whatever the order, the request runs at most once:
-// each attempt is taken once, and only after the one before surely did not run.
+// Callers resend one key at several instances, each with its own stale view of the log.
+// Claims and outcomes are delayed, reordered and duplicated, claimants pause and resume,
+// claims expire. In any order the request runs at most once: each attempt is accepted
+// once, and only after the previous one certainly did not run.
 func TestClaimRunsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &claimModel{state: New(), now: testStart, key: "order-7"}
@@ -146,27 +145,27 @@
 	return state
 }
 
-// An instance claims, then dies. After the time at which it must have given
-// up, a resend is told that the outcome is unknown, and gets no right to run:
-// the instance may only be frozen and send later.
+// An instance acquires a claim and fails. Once it must have given up, a resend gets an
+// unknown outcome but not the right to run: the instance may only be paused and send the
+// request later.
 func TestClaimOfDeadInstanceBecomesUnknown(t *testing.T) {
 	is := is.New(t)
 	state := stateAt(testStart)
-	is.Equal(state.takeClaim(claimOf("order-7", 1, "first")).Claim.Id, "first")
+	is.Equal(state.acquireClaim(claimOf("order-7", 1, "first")).Claim.Id, "first")
 	state.timeMs = testStart + 1001
-	claim := state.takeClaim(claimOf("order-7", 1, "second")).Claim
+	claim := state.acquireClaim(claimOf("order-7", 1, "second")).Claim
 	is.Equal(claim.Id, "first")
 	is.Equal(claim.Outcome, controlpb.ClaimOutcome_CLAIM_OUTCOME_UNKNOWN)
-	is.Equal(state.takeClaim(claimOf("order-7", 2, "third")).Claim.Id, "first")
-	// It was frozen after all, and answers late: the outcome is known again.
+	is.Equal(state.acquireClaim(claimOf("order-7", 2, "third")).Claim.Id, "first")
+	// The instance was only paused and answers late: the outcome becomes known.
 	state.settleClaim(settleOf(claim, controlpb.ClaimOutcome_CLAIM_OUTCOME_ANSWERED))
 	claim, _ = state.Claim("crews", "order-7")
 	is.Equal(claim.Outcome, controlpb.ClaimOutcome_CLAIM_OUTCOME_ANSWERED)
 }
 
-// A proposer never learns whether its claim was committed and gives it up. The
-// proposal is delivered after that. The next resend must be able to run, or the
-// key would be blocked by a claim that nobody holds.
+// A proposer doesn't learn whether its claim was committed and abandons it; the proposal
+// is delivered afterwards. The next resend must be able to run, or a claim without a
+// holder would block the key.
 func TestAbandonedClaimLetsResendRun(t *testing.T) {
 	is := is.New(t)
 	state := stateAt(testStart)
@@ -174,13 +173,13 @@
 	abandon := settleOf(lost, controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN)
 	abandon.Abandoned = lost
 	state.settleClaim(abandon)
-	is.Equal(state.takeClaim(lost).Claim.Outcome, controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN)
-	is.Equal(state.takeClaim(claimOf("order-7", 2, "resend")).Claim.Id, "resend")
+	is.Equal(state.acquireClaim(lost).Claim.Outcome, controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN)
+	is.Equal(state.acquireClaim(claimOf("order-7", 2, "resend")).Claim.Id, "resend")
 }
 
-// A key is used, its claim expires, and the caller sends it again much later.
-// It must not run, whether the key carries its time or not; a key that surely
-// did not run may.
+// A key is used, its claim expires, and the caller resends it much later. It must not run
+// again, whether or not the key carries its creation time, unless it certainly did not run
+// before.
 func TestExpiredKeyIsRefused(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -200,25 +199,25 @@
 			is := is.New(t)
 			state := stateAt(testStart)
 			claim := claimOf(c.key, 1, "first")
-			state.takeClaim(claim)
+			state.acquireClaim(claim)
 			state.settleClaim(settleOf(claim, c.outcome))
-			state.timeMs += 2*claimLife.Milliseconds() - 1
+			state.timeMs += 2*claimRetention.Milliseconds() - 1
 			state.expireClaims(1)
 			_, kept := state.Claim("crews", c.key)
 			is.Equal(kept, false)
 			is.Equal(state.spent.Len(), c.hashes)
 			state = Restore(state.Snapshot())
-			is.Equal(state.takeClaim(claimOf(c.key, 1, "again")).Code, string(c.code))
+			is.Equal(state.acquireClaim(claimOf(c.key, 1, "again")).Code, string(c.code))
 		})
 	}
 }
 
-// A customer's spent keys reach their bound. Its next key without a time is
-// refused as not run, since it could not be remembered; a ULID still runs.
+// A customer's spent keys reach their limit. The next key that is not a ULID is refused
+// without running, since it could not be recorded as spent; a ULID still runs.
 func TestSpentKeysAreBounded(t *testing.T) {
 	is := is.New(t)
 	state := stateAt(testStart)
 	state.spentCounts, _, _ = state.spentCounts.Insert([]byte("crews"), maxSpentKeys)
-	is.Equal(state.takeClaim(claimOf("order-8", 1, "a")).Code, string(failure.LimitReached))
-	is.Equal(state.takeClaim(claimOf(ulid.MustNew(testStart, nil).String(), 1, "a")).Code, "")
+	is.Equal(state.acquireClaim(claimOf("order-8", 1, "a")).Code, string(failure.LimitReached))
+	is.Equal(state.acquireClaim(claimOf(ulid.MustNew(testStart, nil).String(), 1, "a")).Code, "")
 }
--- a/internal/state/store/credits.go
+++ b/internal/state/store/credits.go
@@ -7,12 +7,12 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// CreditMembers gives the entry instances that slots and limits are shared out
-// to; epoch 0 before the first.
+// CreditMembers returns the entry instances among which slots and limits are divided.
+// The epoch is 0 until members are first set.
 func (s *State) CreditMembers() *controlpb.CreditMembers { return s.creditMembers }
 
-// setCreditMembers takes the members of the next epoch. Of two leaders with the
-// same epoch in mind the second is refused: an epoch has one set of members.
+// setCreditMembers sets the members of the next epoch. If two leaders propose the same
+// epoch, the second proposal is refused: an epoch has exactly one set of members.
 func (s *State) setCreditMembers(next *controlpb.CreditMembers) *controlpb.Result {
 	if next.Epoch != s.creditMembers.Epoch+1 {
 		return refusal(0, failure.StaleEpoch, "the credit members are at another epoch")
--- a/internal/state/store/document.go
+++ b/internal/state/store/document.go
@@ -9,21 +9,22 @@
 	"pinewinch.example/pinewinch/internal/protocol/declaration"
 )
 
-// Document is the newest whole set of declarations as it was sent; nil for none.
+// Document returns the newest complete set of declarations as it was sent, or nil if
+// none was sent.
 func (s *State) Document() *controlpb.Document { return s.document }
 
 // Queues lists the declared queues.
 func (s *State) Queues() []*controlpb.Queue {
-	return declared(s, declaration.QueuePrefix, (*controlpb.Item).GetQueue)
+	return listDeclared(s, declaration.QueuePrefix, (*controlpb.Item).GetQueue)
 }
 
 // Customers lists the declared customers.
 func (s *State) Customers() []*controlpb.Customer {
-	return declared(s, declaration.CustomerPrefix, (*controlpb.Item).GetCustomer)
+	return listDeclared(s, declaration.CustomerPrefix, (*controlpb.Item).GetCustomer)
 }
 
-// declared lists the items of one kind, by their keys.
-func declared[T any](s *State, prefix string, body func(*controlpb.Item) T) []T {
+// listDeclared lists the declarations under a key prefix in key order.
+func listDeclared[T any](s *State, prefix string, body func(*controlpb.Item) T) []T {
 	var bodies []T
 	s.items.Root().WalkPrefix([]byte(prefix), func(_ []byte, item *controlpb.Item) bool {
 		bodies = append(bodies, body(item))
@@ -32,20 +33,20 @@
 	return bodies
 }
 
-// replaced are the kinds of declaration that a document holds; the others are
-// declared one by one and stay.
-var replaced = []string{declaration.QueuePrefix, declaration.CustomerPrefix, declaration.ServicePrefix}
+// documentPrefixes are the key prefixes of the declarations that a document replaces.
+// Other kinds are declared individually and are kept.
+var documentPrefixes = []string{declaration.QueuePrefix, declaration.CustomerPrefix, declaration.ServicePrefix}
 
-// replaceDeclarations puts a newer document in force. An older one, or the same
-// version again, is acknowledged and changes nothing: an operator that did not
-// get the answer sends the same again, and a late copy must not undo a newer one.
+// replaceDeclarations applies a document of a higher version. An older or equal version
+// is acknowledged without effect: an operator that got no response sends the document
+// again, and a delayed copy must not overwrite a newer one.
 func (s *State) replaceDeclarations(op *controlpb.ReplaceDeclarations) *controlpb.Result {
 	if s.document != nil && op.Document.Version <= s.document.Version {
 		return &controlpb.Result{}
 	}
 	txn := s.items.Txn()
 	walk(s.items, func(key string, _ *controlpb.Item) {
-		for _, prefix := range replaced {
+		for _, prefix := range documentPrefixes {
 			if strings.HasPrefix(key, prefix) {
 				txn.Delete([]byte(key))
 			}
@@ -60,7 +61,8 @@
 	return &controlpb.Result{}
 }
 
-// Replicas lists the instances that keep the log, as its leader last said.
+// Replicas lists the instances that hold a replica of the log, as last reported by the
+// leader.
 func (s *State) Replicas() []*controlpb.ReplicaInstance { return s.replicas }
 
 func (s *State) setReplicas(op *controlpb.SetReplicas) *controlpb.Result {
--- a/internal/state/store/health.go
+++ b/internal/state/store/health.go
@@ -9,11 +9,11 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// maxWorkerFailures bounds what is kept of one worker's failures, newest last.
+// maxWorkerFailures limits the failures kept for one worker, newest last.
 const maxWorkerFailures = 8
 
-// Health gives the failures of a worker since it last completed a task; nil for
-// a worker without any.
+// Health returns the failures of a worker since it last completed a task, or nil if
+// there are none.
 func (s *State) Health(worker string) *controlpb.WorkerHealth {
 	if s.health.Len() == 0 {
 		return nil
@@ -22,10 +22,10 @@
 	return health
 }
 
-// blameless holds the failures that are not the worker's: a task that outgrew
-// its memory, and a worker that went away. A rack that loses its power takes many
-// jobs with it at once, and would come back to a quarantine.
-var blameless = map[failure.Code]bool{
+// notWorkerFault holds the failure codes that don't count against the worker, such as a
+// task that exceeded its declared memory or a lost worker. If lost workers counted, a
+// rack that loses power would fail many jobs at once and be quarantined on its return.
+var notWorkerFault = map[failure.Code]bool{
 	failure.MemoryExceeded: true,
 	failure.WorkerVanished: true,
 	failure.LeaseLost:      true,
@@ -34,9 +34,9 @@
 	failure.StaleEpoch:     true,
 }
 
-// recordWorkerFailure keeps a failure against its worker.
+// recordWorkerFailure adds a task failure to its worker's health.
 func (s *State) recordWorkerFailure(job string, failed *controlpb.TaskFailure) {
-	if failed.Worker == "" || blameless[failure.Code(failed.Code)] {
+	if failed.Worker == "" || notWorkerFault[failure.Code(failed.Code)] {
 		return
 	}
 	health := &controlpb.WorkerHealth{Worker: failed.Worker}
@@ -51,16 +51,16 @@
 	s.health, _, _ = s.health.Insert([]byte(failed.Worker), health)
 }
 
-// recordWorkerSuccess clears a worker: it has just completed a task.
+// recordWorkerSuccess clears the failures of the worker that completed the task.
 func (s *State) recordWorkerSuccess(job *controlpb.Job, task uint32) {
 	if placement := PlacementOf(job, task); placement != nil {
 		s.health, _, _ = s.health.Delete([]byte(placement.Worker))
 	}
 }
 
-// clearBlame takes a parked job's failures off the workers that it failed on:
-// the job was at fault, and a few such jobs would quarantine healthy workers.
-func (s *State) clearBlame(job *controlpb.Job) {
+// clearJobFailures removes the failures of a parked job from the health of the workers
+// it ran on: the job was at fault, and a few such jobs would quarantine healthy workers.
+func (s *State) clearJobFailures(job *controlpb.Job) {
 	for _, failed := range job.Failures {
 		health := s.Health(failed.Worker)
 		if health == nil {
@@ -78,9 +78,9 @@
 	}
 }
 
-// oldHealth tells health that no failure has been added to for long: workers
-// that never come back must not be kept for ever.
-func (s *State) oldHealth(health *controlpb.WorkerHealth) bool {
+// healthExpired reports whether the newest failure is past its retention. Without this,
+// the health of workers that never return would be kept forever.
+func (s *State) healthExpired(health *controlpb.WorkerHealth) bool {
 	newest := health.Failures[len(health.Failures)-1]
-	return newest.TimeMs < s.timeMs-healthLife.Milliseconds()
+	return newest.TimeMs < s.timeMs-healthRetention.Milliseconds()
 }
--- a/internal/state/store/held.go
+++ b/internal/state/store/held.go
@@ -9,17 +9,17 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// heldTable counts for each accelerator the placements of open jobs that hold it; one
-// that nobody holds is not in it. A plan is checked against it, so that an entry costs
-// what it places and not what runs in the whole cluster.
+// heldTable counts, for each accelerator, the placements of open jobs that hold it.
+// Accelerators that aren't held have no record. Plans are checked against this table, so
+// that the cost of a plan depends on what it places and not on what runs in the cluster.
 //
-// A job gets placements by a plan only, and a waiting one has none.
+// Only a plan gives a job placements, and a waiting job has none.
 //
-// Counts and not names of holders: the table is then the same whether a state was
-// reached by entries or restored from a snapshot.
+// The table holds counts rather than the ids of the holders, so that it is the same
+// whether the state was reached by applying entries or restored from a snapshot.
 type heldTable = table[uint32]
 
-// Accelerator is one accelerator of one worker.
+// Accelerator identifies one accelerator of one worker.
 type Accelerator struct {
 	Worker string
 	Number uint32
@@ -29,25 +29,25 @@
 	return binary.BigEndian.AppendUint32(append([]byte(a.Worker), 0), a.Number)
 }
 
-// isHeld tells whether an open job holds the accelerator.
+// isHeld reports whether an open job holds the accelerator.
 func (s *State) isHeld(accelerator Accelerator) bool {
 	_, held := s.held.Get(accelerator.key())
 	return held
 }
 
-// moveHeld notes that a job's placements have changed.
-func (s *State) moveHeld(before, now *controlpb.Job) {
+// updateHeld updates the counts after a job has changed.
+func (s *State) updateHeld(before, now *controlpb.Job) {
 	from, to := holdings(before), holdings(now)
 	if slices.EqualFunc(from, to, sameHolding) {
 		return
 	}
 	txn := s.held.Txn()
-	countHeld(txn, from, func(count uint32) uint32 { return count - 1 })
-	countHeld(txn, to, func(count uint32) uint32 { return count + 1 })
+	adjustHeld(txn, from, func(count uint32) uint32 { return count - 1 })
+	adjustHeld(txn, to, func(count uint32) uint32 { return count + 1 })
 	s.held = txn.Commit()
 }
 
-// holdings are the placements by which a job holds accelerators.
+// holdings returns the placements by which a job holds accelerators.
 func holdings(job *controlpb.Job) []*controlpb.Placement {
 	if job == nil || Ended(job.State) {
 		return nil
@@ -59,8 +59,8 @@
 	return a.Worker == b.Worker && slices.Equal(a.Accelerators, b.Accelerators)
 }
 
-// countHeld changes the count of each accelerator that the placements name.
-func countHeld(txn *iradix.Txn[uint32], placements []*controlpb.Placement, change func(uint32) uint32) {
+// adjustHeld applies change to the count of each accelerator in the placements.
+func adjustHeld(txn *iradix.Txn[uint32], placements []*controlpb.Placement, change func(uint32) uint32) {
 	for _, placement := range placements {
 		for _, number := range placement.Accelerators {
 			key := Accelerator{placement.Worker, number}.key()
@@ -74,11 +74,11 @@
 	}
 }
 
-// fillHeld counts what the given open jobs hold.
-func fillHeld(jobs []*controlpb.Job) *heldTable {
+// buildHeld counts the accelerators that the given jobs hold.
+func buildHeld(jobs []*controlpb.Job) *heldTable {
 	txn := iradix.New[uint32]().Txn()
 	for _, job := range jobs {
-		countHeld(txn, holdings(job), func(count uint32) uint32 { return count + 1 })
+		adjustHeld(txn, holdings(job), func(count uint32) uint32 { return count + 1 })
 	}
 	return txn.Commit()
 }
--- a/internal/state/store/held_test.go
+++ b/internal/state/store/held_test.go
@@ -9,10 +9,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Two replicas that reach one state, the one by entries and the other by a snapshot
-// on the way, must refuse the same plans from then on: what they count as held is
-// compared after any commands on a few workers, plans that collide among them.
-func TestHeldAcceleratorsAreThoseOfOpenJobs(t *testing.T) {
+// A replica that restored a snapshot must refuse the same plans as one that applied the
+// whole log. Their held accelerators are compared after random commands on a few workers,
+// including conflicting plans.
+func TestHeldAcceleratorsMatchOpenJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		is, state := is.New(t), New()
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
@@ -22,7 +22,7 @@
 	})
 }
 
-// drawCommand draws a job, a plan for waiting jobs, or a move of one.
+// drawCommand draws a submission, a plan for a waiting job, finished tasks or a move.
 func drawCommand(t *rapid.T, state *State) *controlpb.Command {
 	var jobs []*controlpb.Job
 	if jobs = state.ActiveJobs(); len(jobs) == 0 || rapid.IntRange(0, 3).Draw(t, "kind") == 0 {
@@ -44,8 +44,8 @@
 	return &controlpb.Command{Op: &controlpb.Command_Move{Move: &controlpb.MoveJob{Job: job.Id, Epoch: job.Epoch, State: to}}}
 }
 
-// drawPlan places the two tasks of a job on any of four accelerators, which may be
-// in use or twice the same.
+// drawPlan places the two tasks of a job on any of four accelerators. These may be in use
+// or be the same one twice.
 func drawPlan(t *rapid.T, job *controlpb.Job) *controlpb.CommitPlan {
 	var placements []*controlpb.Placement
 	for task := range uint32(2) {
@@ -57,7 +57,7 @@
 	return &controlpb.CommitPlan{Assignments: []*controlpb.Assignment{{Job: job.Id, Epoch: job.Epoch, Placements: placements}}}
 }
 
-// heldCounts lists the counts by key, and fails where an accelerator is held twice.
+// heldCounts returns the counts by key, and panics if an accelerator is held twice.
 func heldCounts(state *State) map[string]uint32 {
 	counts := map[string]uint32{}
 	walk(state.held, func(key string, count uint32) {
--- a/internal/state/store/idempotent_test.go
+++ b/internal/state/store/idempotent_test.go
@@ -9,10 +9,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// A command is sent again though its first copy may have run, and both are committed,
-// the second up to a caller's patience later and beside other work. Work would run
-// twice, or a workflow end for no reason, unless the second changes nothing and is
-// answered as the first.
+// A command is retried after an unknown outcome and both copies are committed, the second
+// one up to a caller's timeout later and after other commands. The second copy must change
+// nothing and get the result of the first, or work would run twice or a workflow would be
+// cancelled without cause.
 func TestSecondRunOfAnIdempotentCommandChangesNothing(t *testing.T) {
 	workflow := func(id, queue string) *controlpb.Workflow {
 		return &controlpb.Workflow{Id: id, Queue: queue, Customer: "c", MaxAttempts: 1, Steps: []*controlpb.Step{{Count: 2, CoresMilli: 1}}}
@@ -51,9 +51,9 @@
 	}
 }
 
-// Commands that a second run would carry out again, or that a session answers, are
-// never sent again on an unknown outcome.
-func TestPlainCommandsAreNotIdempotent(t *testing.T) {
+// Commands that would take effect a second time, or that a session deduplicates, must not
+// be retried after an unknown outcome.
+func TestOtherCommandsAreNotIdempotent(t *testing.T) {
 	commands := map[string]*controlpb.Command{
 		"none":            nil,
 		"drain":           {Op: &controlpb.Command_Drain{}},
@@ -70,5 +70,5 @@
 	is := is.New(t)
 	newer := &controlpb.Command{}
 	newer.ProtoReflect().SetUnknown([]byte{0xfa, 0x3f, 0x00})
-	is.True(!Idempotent(newer)) // of a newer process
+	is.True(!Idempotent(newer)) // of a newer version
 }
--- a/internal/state/store/items.go
+++ b/internal/state/store/items.go
@@ -7,8 +7,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// applyItems takes a change made against the expected revision. Of two
-// operators racing with the same one, the second finds a newer revision.
+// applyItems applies a change if the declarations are still at the expected revision. If
+// two operators race on the same revision, the second one is refused.
 func (s *State) applyItems(op *controlpb.ApplyItems) *controlpb.Result {
 	if op.ExpectedRevision != s.revision {
 		return refusal(0, failure.Conflict, "the declarations have changed since they were read")
--- a/internal/state/store/jobs.go
+++ b/internal/state/store/jobs.go
@@ -7,9 +7,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// submit accepts a job once: the same id again gets the job as it stands. Work
-// of an inventory entry that was due before is refused even when its job has
-// been forgotten since.
+// submit accepts a job once: a second submission with the same id returns the existing
+// job. A job for an occurrence of an inventory entry that was already submitted is
+// refused, even if that job has expired since.
 func (s *State) submit(op *controlpb.SubmitJob) *controlpb.Result {
 	if job, ok := s.Job(op.Job.Id); ok {
 		return &controlpb.Result{Job: job}
@@ -47,14 +47,14 @@
 	return &controlpb.Result{Job: job}
 }
 
-// commitPlan checks each part of a plan against the state as it is now: the
-// plan was made from an older one. Parts are independent; what is stale is
-// refused by name and the rest stands.
+// commitPlan checks each part of a plan against the current state, because the plan was
+// computed from an older one. The parts are independent: the jobs of stale parts are
+// listed as refused, and the other parts take effect.
 func (s *State) commitPlan(plan *controlpb.CommitPlan) *controlpb.Result {
 	result := &controlpb.Result{}
 	for _, preemption := range plan.Preemptions {
 		job, ok := s.Job(preemption.Job)
-		if !ok || job.Epoch != preemption.Epoch || !holdsUpstreams(job.State) {
+		if !ok || job.Epoch != preemption.Epoch || !holdsAccelerators(job.State) {
 			result.Refused = append(result.Refused, preemption.Job)
 			continue
 		}
@@ -71,8 +71,8 @@
 	return result
 }
 
-// assign places a waiting job, all of its gang or none. No accelerator is
-// given twice: a second plan from a deposed leader would find it taken here.
+// assign places all tasks of a waiting job or none. It never assigns an accelerator
+// twice: a conflicting plan of a deposed leader is refused here.
 func (s *State) assign(assignment *controlpb.Assignment) bool {
 	job, ok := s.Job(assignment.Job)
 	if !ok || job.Epoch != assignment.Epoch || job.State != controlpb.JobState_JOB_STATE_WAITING {
@@ -92,7 +92,7 @@
 	return true
 }
 
-// anyHeld tells whether another job holds one of the accelerators, or two of the
+// anyHeld reports whether an open job holds one of the accelerators, or two of the
 // placements name the same one.
 func (s *State) anyHeld(placements []*controlpb.Placement) bool {
 	own := map[Accelerator]bool{}
@@ -108,14 +108,14 @@
 	return false
 }
 
-func holdsUpstreams(state controlpb.JobState) bool {
+func holdsAccelerators(state controlpb.JobState) bool {
 	return state == controlpb.JobState_JOB_STATE_STARTING || state == controlpb.JobState_JOB_STATE_RUNNING
 }
 
 func (s *State) putJob(job *controlpb.Job) {
 	key := []byte(job.Id)
 	before, _ := s.jobs.Get(key)
-	s.moveHeld(before, job)
+	s.updateHeld(before, job)
 	s.jobs, _, _ = s.jobs.Insert(key, job)
 	if !Ended(job.State) {
 		s.active, _, _ = s.active.Insert(key, job)
@@ -123,6 +123,6 @@
 	}
 	s.active, _, _ = s.active.Delete(key)
 	if job.Workflow != "" {
-		s.unitEnded(job)
+		s.workflowJobEnded(job)
 	}
 }
--- a/internal/state/store/keys.go
+++ b/internal/state/store/keys.go
@@ -12,35 +12,36 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// A key runs at most once for ever, but a full claim is kept for claimLife
-// only. After that a key that carries its time of making (a ULID) is refused by
-// its age, and any other leaves a hash behind, at 8 bytes each. Neither list of
-// hashes grows past maxSpentKeys: from there on a customer's new keys must be
-// ULIDs. So memory is bounded, and no passage of time lets a key run twice.
+// A key never runs more than once, but a full claim is kept only for claimRetention.
+// After that, a key that carries its creation time (a ULID) is refused by its age, and
+// for any other key an 8-byte hash is kept. A key whose claim has expired is called
+// spent. The hashes of one customer are limited to maxSpentKeys; beyond that, new keys
+// of the customer must be ULIDs. Memory is thus limited, and no key can run twice however
+// much time passes.
 const (
-	// claimLife is how long a claim and its outcome can be looked up.
-	claimLife = time.Hour
-	// maxSpentKeys bounds the hashes kept for one customer, 8 bytes each.
+	// claimRetention is how long a claim and its outcome can be looked up.
+	claimRetention = time.Hour
+	// maxSpentKeys limits the hashes kept for one customer, at 8 bytes each.
 	maxSpentKeys = 1 << 20
-	// expiredPerClaim is how many old claims each new one may push out: more
-	// than one, so that the list shrinks after a burst, and few, so that no
-	// command waits for a long clean-up.
+	// expiredPerClaim is how many expired claims are removed for each new one: more than
+	// one, so that the table shrinks after a burst, but few, so that no command takes
+	// long.
 	expiredPerClaim = 2
-	// bucketShift leaves the first 12 bits of a hash: 4096 buckets of about 256
-	// hashes, so that adding one copies about 2 KB.
+	// bucketShift selects the first 12 bits of a hash: 4096 buckets of about 256 hashes
+	// each at the limit, so that adding one copies about 2 KB.
 	bucketShift = 64 - 12
 )
 
-// keyTime gives the time of making that a ULID carries.
+// keyTime returns the creation time, in Unix milliseconds, of a key that is a ULID.
 func keyTime(key string) (ms int64, ok bool) {
 	id, err := ulid.ParseStrict(key)
 	return int64(id.Time()), err == nil
 }
 
-// keySpent tells whether the key was used by a claim that has expired, or may
-// have been: it is older than claims are kept.
-func (s *State) keySpent(customer, key string) bool {
-	if ms, timed := keyTime(key); timed && ms+claimLife.Milliseconds() < s.timeMs {
+// isSpentKey reports whether the key was used by a claim that has expired, or may have
+// been because the key is older than the retention of claims.
+func (s *State) isSpentKey(customer, key string) bool {
+	if ms, hasTime := keyTime(key); hasTime && ms+claimRetention.Milliseconds() < s.timeMs {
 		return true
 	}
 	hash := keyHash(key)
@@ -54,13 +55,13 @@
 	return count >= maxSpentKeys
 }
 
-// insertClaim starts a new attempt and its time to live.
+// insertClaim stores a new attempt and sets its expiry time.
 func (s *State) insertClaim(claim *controlpb.Claim) *controlpb.Claim {
 	if old, ok := s.Claim(claim.Customer, claim.Key); ok {
 		s.claimExpiry, _, _ = s.claimExpiry.Delete(expiryKey(old))
 	}
 	claim = proto.CloneOf(claim)
-	claim.ExpiresMs = max(s.timeMs, claim.PendingUntilMs) + claimLife.Milliseconds()
+	claim.ExpiresMs = max(s.timeMs, claim.PendingUntilMs) + claimRetention.Milliseconds()
 	s.putClaim(claim)
 	s.claimExpiry, _, _ = s.claimExpiry.Insert(expiryKey(claim), struct{}{})
 	return claim
@@ -70,50 +71,51 @@
 	s.claims, _, _ = s.claims.Insert(claimKey(claim.Customer, claim.Key), claim)
 }
 
-// expireClaims drops at most limit old claims, the oldest first: the work is
-// that of the expired ones, not of all that are kept.
+// expireClaims removes at most limit expired claims, oldest first. Its cost depends on
+// the number of expired claims, not on all that are kept.
 func (s *State) expireClaims(limit int) {
-	var old [][]byte
+	var expired [][]byte
 	s.claimExpiry.Root().Walk(func(key []byte, _ struct{}) bool {
-		if int64(binary.BigEndian.Uint64(key)) >= s.timeMs || len(old) == limit {
+		if int64(binary.BigEndian.Uint64(key)) >= s.timeMs || len(expired) == limit {
 			return true
 		}
-		old = append(old, key)
+		expired = append(expired, key)
 		return false
 	})
-	for _, key := range old {
+	for _, key := range expired {
 		claim, _ := s.claims.Get(key[expiryTimeBytes:])
 		s.claims, _, _ = s.claims.Delete(key[expiryTimeBytes:])
 		s.claimExpiry, _, _ = s.claimExpiry.Delete(key)
-		s.spend(claim)
+		s.recordSpentKey(claim)
 	}
 }
 
-// spend remembers a key that may have run, unless its own age refuses it.
-func (s *State) spend(claim *controlpb.Claim) {
-	if claim.Outcome == controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN || s.keySpent(claim.Customer, claim.Key) {
+// recordSpentKey stores the hash of a key that may have run, unless the key is refused
+// by its age.
+func (s *State) recordSpentKey(claim *controlpb.Claim) {
+	if claim.Outcome == controlpb.ClaimOutcome_CLAIM_OUTCOME_NOT_RUN || s.isSpentKey(claim.Customer, claim.Key) {
 		return
 	}
 	hash := keyHash(claim.Key)
 	at := bucketKey(claim.Customer, hash)
 	bucket, _ := s.spent.Get(at)
-	place, _ := slices.BinarySearch(bucket.GetHashes(), hash)
+	position, _ := slices.BinarySearch(bucket.GetHashes(), hash)
 	s.spent, _, _ = s.spent.Insert(at, &controlpb.SpentKeys{
 		Customer: claim.Customer,
 		Bucket:   uint32(hash >> bucketShift),
-		Hashes:   slices.Insert(slices.Clone(bucket.GetHashes()), place, hash),
+		Hashes:   slices.Insert(slices.Clone(bucket.GetHashes()), position, hash),
 	})
 	count, _ := s.spentCounts.Get([]byte(claim.Customer))
 	s.spentCounts, _, _ = s.spentCounts.Insert([]byte(claim.Customer), count+1)
 }
 
-// restoreClaims rebuilds what follows from the claims and spent keys.
+// restoreClaims restores the claims and spent keys and rebuilds their indexes.
 func (s *State) restoreClaims(snapshot *controlpb.Snapshot) {
-	s.claims = fill(snapshot.Claims, func(c *controlpb.Claim) []byte { return claimKey(c.Customer, c.Key) })
+	s.claims = buildTable(snapshot.Claims, func(c *controlpb.Claim) []byte { return claimKey(c.Customer, c.Key) })
 	for _, claim := range snapshot.Claims {
 		s.claimExpiry, _, _ = s.claimExpiry.Insert(expiryKey(claim), struct{}{})
 	}
-	s.spent = fill(snapshot.SpentKeys, func(k *controlpb.SpentKeys) []byte {
+	s.spent = buildTable(snapshot.SpentKeys, func(k *controlpb.SpentKeys) []byte {
 		return bucketKey(k.Customer, uint64(k.Bucket)<<bucketShift)
 	})
 	for _, bucket := range snapshot.SpentKeys {
@@ -131,8 +133,8 @@
 	return binary.BigEndian.AppendUint16([]byte(customer+"/"), uint16(hash>>bucketShift))
 }
 
-// expiryTimeBytes is the length of the time that an expiry key opens with; the
-// key of the claim follows.
+// expiryTimeBytes is the length of the expiry time at the start of an expiry key. The key
+// of the claim follows it.
 const expiryTimeBytes = 8
 
 func expiryKey(claim *controlpb.Claim) []byte {
--- a/internal/state/store/moves.go
+++ b/internal/state/store/moves.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// maxFailures bounds the evidence that a job keeps, newest last.
+	// maxFailures limits the failures kept for one job, newest last.
 	maxFailures = 16
-	// A task that outgrew its memory gets a quarter more than was seen in use,
-	// because usage is reported late and so low.
+	// After a task exceeded its memory, the next attempt gets a quarter more than the
+	// observed usage, because usage is reported with a delay and is therefore too low.
 	memoryMarginNumerator   = 5
 	memoryMarginDenominator = 4
 )
 
-// batchMove applies what one step of dispatch found: ends first, so that a gang
-// whose last task ended well is complete before a stop of it is looked at.
+// batchMove applies the events of one dispatch step. Finished tasks come first, so that a
+// gang whose last task succeeded is complete before a stop of it is considered.
 func (s *State) batchMove(op *controlpb.BatchMove) *controlpb.Result {
 	result := &controlpb.Result{}
 	s.finishTasks(&controlpb.FinishTasks{Tasks: op.Finished})
@@ -34,8 +34,8 @@
 	return result
 }
 
-// moveJob records what dispatch saw happen to one epoch of a job. A report of
-// an older epoch is late news of a gang that has been stopped since.
+// moveJob records a state change that dispatch observed for one epoch of a job. A report
+// of an older epoch is a late report of a gang that has been stopped since.
 func (s *State) moveJob(op *controlpb.MoveJob) *controlpb.Result {
 	job, ok := s.Job(op.Job)
 	if !ok {
@@ -46,29 +46,29 @@
 	}
 	job = proto.CloneOf(job)
 	s.recordFailure(job, op.Failure)
-	resize(job, op.ObservedMemoryMb)
+	raiseMemory(job, op.ObservedMemoryMb)
 	job.NotBeforeMs = max(job.NotBeforeMs, op.NotBeforeMs)
 	if op.Checkpoint != "" {
 		job.Checkpoint = op.Checkpoint
 	}
 	switch {
 	case op.State == controlpb.JobState_JOB_STATE_RUNNING:
-		s.run(job)
+		s.startRunning(job)
 	case op.State == controlpb.JobState_JOB_STATE_STOPPING:
 		s.stop(job, controlpb.JobState_JOB_STATE_WAITING)
 	case job.State == controlpb.JobState_JOB_STATE_STOPPING:
-		s.release(job, afterStop(job, op.State), op.CheckpointedMs)
+		s.finishStop(job, stateAfterStop(job, op.State), op.CheckpointedMs)
 	default:
-		s.enter(job, op.State)
+		s.setState(job, op.State)
 	}
 	s.putJob(job)
 	return &controlpb.Result{Job: job}
 }
 
-// afterStop lets a cancellation that came while the gang was being stopped win
-// over the move that the leader chose before it saw the cancellation; the
-// caller would see a cancelled job run again otherwise.
-func afterStop(job *controlpb.Job, asked controlpb.JobState) controlpb.JobState {
+// stateAfterStop returns the state of a job after its stop. A cancellation during the
+// stop takes precedence over the state that the leader requested before it observed the
+// cancellation; otherwise a cancelled job would run again.
+func stateAfterStop(job *controlpb.Job, asked controlpb.JobState) controlpb.JobState {
 	if job.NextState == controlpb.JobState_JOB_STATE_CANCELLED {
 		return controlpb.JobState_JOB_STATE_CANCELLED
 	}
@@ -81,7 +81,7 @@
 	case controlpb.JobState_JOB_STATE_RUNNING:
 		return from == controlpb.JobState_JOB_STATE_STARTING
 	case controlpb.JobState_JOB_STATE_STOPPING:
-		return holdsUpstreams(from)
+		return holdsAccelerators(from)
 	case controlpb.JobState_JOB_STATE_COMPLETED:
 		return from == controlpb.JobState_JOB_STATE_RUNNING
 	case controlpb.JobState_JOB_STATE_WAITING,
@@ -107,27 +107,27 @@
 	s.recordWorkerFailure(job.Id, failed)
 }
 
-// resize makes the next attempt ask for what was seen in use, not for what was
-// declared: with the declared size it would be stopped by the guard again.
-func resize(job *controlpb.Job, observedMB uint64) {
+// raiseMemory raises the memory request of the next attempt to the observed usage plus a
+// margin: with the declared size, the memory guard would stop it again.
+func raiseMemory(job *controlpb.Job, observedMB uint64) {
 	job.MemoryMb = max(job.MemoryMb, observedMB*memoryMarginNumerator/memoryMarginDenominator)
 }
 
-func (s *State) run(job *controlpb.Job) {
+func (s *State) startRunning(job *controlpb.Job) {
 	job.State = controlpb.JobState_JOB_STATE_RUNNING
 	job.StartedMs = s.timeMs
 	job.ReservedMs += s.timeMs - job.PlacedMs
 	if job.Workflow != "" {
-		s.unitStarted(job)
+		s.workflowJobStarted(job)
 	}
 }
 
-// stop sends a job towards its next state: at once if it holds nothing, else
-// through STOPPING, which holds its accelerators until every member is stopped.
+// stop moves a job to its next state: immediately if it holds no accelerators, otherwise
+// through STOPPING, in which it holds its accelerators until every member has stopped.
 func (s *State) stop(job *controlpb.Job, next controlpb.JobState) {
 	switch job.State {
 	case controlpb.JobState_JOB_STATE_WAITING:
-		s.enter(job, next)
+		s.setState(job, next)
 		return
 	case controlpb.JobState_JOB_STATE_RUNNING:
 		job.RanMs += s.timeMs - job.StartedMs
@@ -140,9 +140,9 @@
 	job.State = controlpb.JobState_JOB_STATE_STOPPING
 }
 
-// release ends a stop: every member is stopped or its lease has run out. What
-// no checkpoint kept of the run is lost, and counted by its cause.
-func (s *State) release(job *controlpb.Job, next controlpb.JobState, checkpointedMs int64) {
+// finishStop ends a stop: every member has stopped or its lease has expired. Run time
+// after the last checkpoint is lost and accounted by its cause.
+func (s *State) finishStop(job *controlpb.Job, next controlpb.JobState, checkpointedMs int64) {
 	kept := max(checkpointedMs-job.CheckpointedMs, 0)
 	if job.StartedMs > 0 && next != controlpb.JobState_JOB_STATE_CANCELLED {
 		lost := max(job.StoppingMs-job.StartedMs-kept, 0)
@@ -153,11 +153,11 @@
 	}
 	job.CheckpointedMs += kept
 	job.ReservedMs += s.timeMs - job.StoppingMs
-	s.enter(job, next)
+	s.setState(job, next)
 }
 
-// enter puts a job into a state in which it holds no accelerators.
-func (s *State) enter(job *controlpb.Job, state controlpb.JobState) {
+// setState moves a job to a state in which it holds no accelerators.
+func (s *State) setState(job *controlpb.Job, state controlpb.JobState) {
 	job.State = state
 	job.Placements = nil
 	job.DoneTasks = nil
@@ -168,12 +168,12 @@
 		job.EndedMs = s.timeMs
 	}
 	if state == controlpb.JobState_JOB_STATE_PARKED {
-		s.clearBlame(job)
+		s.clearJobFailures(job)
 	}
 }
 
-// acknowledgeStop keeps a member's word that it has stopped, so that neither a
-// retry nor a new leader waits for it again.
+// acknowledgeStop records that a member has stopped, so that neither a retry nor a new
+// leader waits for it again.
 func (s *State) acknowledgeStop(op *controlpb.StopAcknowledged) {
 	job, ok := s.Job(op.Job)
 	if !ok || job.Epoch != op.Epoch || job.State != controlpb.JobState_JOB_STATE_STOPPING {
@@ -187,20 +187,20 @@
 	if op.Stopped.Checkpoint != "" {
 		job.Checkpoint = op.Stopped.Checkpoint
 	}
-	giveBack(job, op.Stopped.Task)
+	freeAccelerators(job, op.Stopped.Task)
 	s.putJob(job)
 }
 
-// giveBack frees the accelerators of one member that surely runs no more, while
-// the rest of its gang still holds theirs: a gang of 128 with one silent worker
-// would keep 127 others idle for as long as a lease can last.
-func giveBack(job *controlpb.Job, task uint32) {
+// freeAccelerators frees the accelerators of a member that certainly no longer runs,
+// while the other members still hold theirs. Otherwise a gang of 128 with one
+// unresponsive worker would keep the other 127 workers idle for up to a full lease.
+func freeAccelerators(job *controlpb.Job, task uint32) {
 	if placement := PlacementOf(job, task); placement != nil {
 		placement.Accelerators = nil
 	}
 }
 
-// PlacementOf is where a task of the job is placed; nil where it is not.
+// PlacementOf returns the placement of a task, or nil if the task isn't placed.
 func PlacementOf(job *controlpb.Job, task uint32) *controlpb.Placement {
 	for _, placement := range job.Placements {
 		if placement.Task == task {
@@ -210,14 +210,14 @@
 	return nil
 }
 
-// StopAcknowledged tells whether the member's stop is in the log.
+// StopAcknowledged reports whether the stop of the task is recorded in the log.
 func StopAcknowledged(job *controlpb.Job, task uint32) bool {
 	return slices.ContainsFunc(job.StoppedTasks, func(t *controlpb.StoppedTask) bool { return t.Task == task })
 }
 
-// finishTasks counts tasks that ended well; a gang is complete with its last.
-// They count during a stop too: a gang whose every task had ended well before
-// the stop came has done its work, and must not do it twice.
+// finishTasks records tasks that succeeded; a gang is complete when all of its tasks
+// have. They count during a stop too: a gang whose tasks all succeeded before the stop
+// arrived has done its work and must not repeat it.
 func (s *State) finishTasks(op *controlpb.FinishTasks) *controlpb.Result {
 	for _, finished := range op.Tasks {
 		job, ok := s.Job(finished.Job)
@@ -237,12 +237,12 @@
 func (s *State) finishTask(job *controlpb.Job, task uint32) {
 	job.DoneTasks = append(job.DoneTasks, task)
 	s.recordWorkerSuccess(job, task)
-	giveBack(job, task)
+	freeAccelerators(job, task)
 	if len(job.DoneTasks) < int(job.Tasks) {
 		return
 	}
 	if job.State == controlpb.JobState_JOB_STATE_RUNNING {
 		job.RanMs += s.timeMs - job.StartedMs
 	}
-	s.enter(job, controlpb.JobState_JOB_STATE_COMPLETED)
+	s.setState(job, controlpb.JobState_JOB_STATE_COMPLETED)
 }
--- a/internal/state/store/moves_test.go
+++ b/internal/state/store/moves_test.go
@@ -20,15 +20,16 @@
 	parked    = controlpb.JobState_JOB_STATE_PARKED
 )
 
-// machine applies commands to a state, a second of the leader's clock each.
-type machine struct {
+// stateMachine applies commands to a state and advances the leader's clock by one second
+// for each.
+type stateMachine struct {
 	state *store.State
 	ms    int64
 }
 
-func newMachine() *machine { return &machine{state: store.New()} }
+func newStateMachine() *stateMachine { return &stateMachine{state: store.New()} }
 
-func (m *machine) apply(command *controlpb.Command) *controlpb.Result {
+func (m *stateMachine) apply(command *controlpb.Command) *controlpb.Result {
 	m.ms += 1000
 	command.TimeMs = m.ms
 	var result *controlpb.Result
@@ -36,13 +37,13 @@
 	return result
 }
 
-func (m *machine) place(id string, workers ...string) {
+func (m *stateMachine) place(id string, workers ...string) {
 	job := &controlpb.Job{Id: id, Tasks: uint32(len(workers)), Accelerators: 1, MemoryMb: 100}
 	m.apply(&controlpb.Command{Op: &controlpb.Command_Submit{Submit: &controlpb.SubmitJob{Job: job}}})
 	m.assign(id, workers...)
 }
 
-func (m *machine) assign(id string, workers ...string) {
+func (m *stateMachine) assign(id string, workers ...string) {
 	job, _ := m.state.Job(id)
 	assignment := &controlpb.Assignment{Job: id, Epoch: job.Epoch}
 	for task, worker := range workers {
@@ -51,33 +52,32 @@
 	m.apply(&controlpb.Command{Op: &controlpb.Command_Plan{Plan: &controlpb.CommitPlan{Assignments: []*controlpb.Assignment{assignment}}}})
 }
 
-func (m *machine) move(move *controlpb.MoveJob) *controlpb.Result {
+func (m *stateMachine) move(move *controlpb.MoveJob) *controlpb.Result {
 	return m.batch(&controlpb.BatchMove{Moves: []*controlpb.MoveJob{move}})
 }
 
-func (m *machine) batch(batch *controlpb.BatchMove) *controlpb.Result {
+func (m *stateMachine) batch(batch *controlpb.BatchMove) *controlpb.Result {
 	return m.apply(&controlpb.Command{Op: &controlpb.Command_BatchMove{BatchMove: batch}})
 }
 
-func (m *machine) to(id string, epoch uint64, state controlpb.JobState) *controlpb.Result {
+func (m *stateMachine) to(id string, epoch uint64, state controlpb.JobState) *controlpb.Result {
 	return m.move(&controlpb.MoveJob{Job: id, Epoch: epoch, State: state})
 }
 
-func (m *machine) cancel(id string) {
+func (m *stateMachine) cancel(id string) {
 	m.apply(&controlpb.Command{Op: &controlpb.Command_Cancel{Cancel: &controlpb.CancelJob{Id: id}}})
 }
 
-func (m *machine) job(id string) *controlpb.Job {
+func (m *stateMachine) job(id string) *controlpb.Job {
 	job, _ := m.state.Job(id)
 	return job
 }
 
-// The leader sees a stop acknowledged and moves the job back to waiting; the
-// caller's cancellation is committed in between. The caller would see the job
-// that it cancelled run again.
+// The leader gets the acknowledgement of a stop and moves the job back to waiting, but the
+// caller's cancellation is committed in between. The cancelled job must not run again.
 func TestCancellationDuringAStopWins(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newStateMachine()
 	m.place("j", "w1")
 	m.to("j", 1, running)
 	m.to("j", 1, stopping)
@@ -86,11 +86,11 @@
 	is.Equal(m.job("j").State, cancelled)
 }
 
-// Every task of a gang had ended well when a take-back stopped it. If the ends
-// did not count, the work would be done twice.
-func TestAllTasksEndedDuringAStopCompletesTheJob(t *testing.T) {
+// All tasks of a gang have succeeded when a preemption stops it. If they were not counted,
+// the work would be done twice.
+func TestTasksFinishedDuringStopCompleteJob(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newStateMachine()
 	m.place("j", "w1", "w2")
 	m.to("j", 1, running)
 	m.to("j", 1, stopping)
@@ -102,10 +102,10 @@
 	is.Equal(len(m.job("j").Placements), 0)
 }
 
-// A stop takes a run of two seconds back; the checkpoint kept one of them.
-func TestWorkIsAccounted(t *testing.T) {
+// A job is preempted after a run of two seconds, one of which is checkpointed.
+func TestRunTimeAccounting(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newStateMachine()
 	m.place("j", "w1")
 	m.to("j", 1, running)
 	m.apply(&controlpb.Command{})
@@ -118,27 +118,28 @@
 	is.Equal(job.LostMs, int64(1000))
 	is.Equal(job.LostPreemptedMs, int64(1000))
 	is.Equal(job.RanMs, int64(2000))
-	is.Equal(job.ReservedMs, int64(3000)) // one to start, two to stop
+	is.Equal(job.ReservedMs, int64(3000)) // 1 s for the start, 2 s for the stop
 	m.assign("j", "w1")
-	is.True(!store.StopAcknowledged(m.job("j"), 0)) // of another epoch
+	is.True(!store.StopAcknowledged(m.job("j"), 0)) // a new epoch
 }
 
-// The guard stopped a task that used more than it had declared; with the
-// declared size it would be stopped at every attempt.
+// The memory guard stops a task that uses more than it declared. With the declared size it
+// would be stopped at every attempt.
 func TestNextAttemptIsSizedFromWhatWasObserved(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newStateMachine()
 	m.place("j", "w1")
 	m.move(&controlpb.MoveJob{Job: "j", Epoch: 1, State: stopping, ObservedMemoryMb: 400, Failure: &controlpb.TaskFailure{Worker: "w1", Code: string(failure.MemoryExceeded)}})
 	is.Equal(m.job("j").MemoryMb, uint64(500))
 	is.Equal(m.state.Health("w1"), nil) // not the worker's fault
 }
 
-// A worker's failures are in the log, so every leader derives the same from
-// them; a task that ends well clears them, and so does a job found at fault.
+// A worker's failures are part of the replicated state, so that every leader derives the
+// same health from them. A task that succeeds clears them, and parking a job clears that
+// job's failures.
 func TestHealthOfWorkers(t *testing.T) {
 	is := is.New(t)
-	m := newMachine()
+	m := newStateMachine()
 	fail := func(id, worker string) {
 		epoch := m.job(id).Epoch
 		m.move(&controlpb.MoveJob{Job: id, Epoch: epoch, State: stopping, Failure: &controlpb.TaskFailure{Worker: worker, Code: string(failure.TaskFailed)}})
--- a/internal/state/store/occurrences.go
+++ b/internal/state/store/occurrences.go
@@ -9,19 +9,20 @@
 	"pinewinch.example/pinewinch/internal/protocol/declaration"
 )
 
-// maxChanges bounds how many changes of one entry are remembered within a
-// period; going back to one of them does not make its work due again.
+// maxChanges limits the changes of one entry that are kept within a period. Reverting an
+// entry to one of them doesn't make its work due again.
 const maxChanges = 16
 
-// Occurrence gives what an entry's work was last due for; nil for never.
+// Occurrence returns the period and changes for which work of the entry was last due,
+// or nil if it never was.
 func (s *State) Occurrence(entry string) *controlpb.Occurrence {
 	occurrence, _ := s.occurrences.Get([]byte(entry))
 	return occurrence
 }
 
-// WasDue tells whether the entry's work has been due for that period and
-// change, or for a later period: a leader whose clock runs behind the last one's
-// must not make work of a period that has passed.
+// WasDue reports whether work of the entry has been due for the given period and change,
+// or for a later period: a leader whose clock is behind its predecessor's must not create
+// work for a past period.
 func (s *State) WasDue(entry string, period int64, change string) bool {
 	last := s.Occurrence(entry)
 	if last == nil || last.Period < period {
@@ -30,7 +31,8 @@
 	return last.Period > period || slices.Contains(last.Changes, change)
 }
 
-// recordOccurrence notes that the job's work is due now, and fails if it was.
+// recordOccurrence records that the job's work is due and returns false if it was due
+// before.
 func (s *State) recordOccurrence(job *controlpb.Job) bool {
 	if s.WasDue(job.Entry, job.Period, job.Change) {
 		return false
@@ -48,11 +50,11 @@
 	return true
 }
 
-// oldOccurrence tells what can be forgotten: the entry was removed, and long
-// ago its work was last due. One that stays declared is never forgotten.
-func (s *State) oldOccurrence(occurrence *controlpb.Occurrence) bool {
+// occurrenceExpired reports whether the entry is no longer declared and its last
+// occurrence is past its retention. Occurrences of declared entries never expire.
+func (s *State) occurrenceExpired(occurrence *controlpb.Occurrence) bool {
 	if _, declared := s.items.Get([]byte(declaration.EntryKey(occurrence.Entry))); declared {
 		return false
 	}
-	return occurrence.TimeMs < s.timeMs-occurrenceLife.Milliseconds()
+	return occurrence.TimeMs < s.timeMs-occurrenceRetention.Milliseconds()
 }
--- a/internal/state/store/plan_cost_test.go
+++ b/internal/state/store/plan_cost_test.go
@@ -8,10 +8,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// All cores came back from a loss of power and no leader was elected for 2 s: each
-// applied its log again, 0.7 ms of a core for an entry, and most of that went into
-// entries that place work. Each listed all accelerators in use in the cluster to see
-// that a handful were free. What an entry costs must not grow with what runs.
+// The cost of a plan must not grow with the number of running tasks. When each plan listed
+// all accelerators in use to check that a few are free, entries that place work dominated
+// log replay (0.7 ms of CPU time per entry), and after a power loss of all core replicas
+// no leader was elected for 2 s.
 func TestPlanCostsWhatItPlaces(t *testing.T) {
 	is := is.New(t)
 	idle, busy := allocationsOfPlan(t, 60), allocationsOfPlan(t, replayWorkers*replayAccelerators)
@@ -19,8 +19,8 @@
 	is.True(busy < 2*idle)
 }
 
-// allocationsOfPlan gives the allocations of a plan for one workflow while that
-// many tasks run.
+// allocationsOfPlan returns the number of allocations for a plan of one workflow while the
+// given number of tasks runs.
 func allocationsOfPlan(t *testing.T, running int) float64 {
 	log := newReplayLog()
 	state := New()
@@ -45,7 +45,7 @@
 	return state
 }
 
-// freePlacements are places on a worker that nothing else uses.
+// freePlacements returns placements on a worker that nothing else uses.
 func freePlacements(count int) []*controlpb.Placement {
 	var free []*controlpb.Placement
 	for number := range count {
--- a/internal/state/store/replay_bench_test.go
+++ b/internal/state/store/replay_bench_test.go
@@ -7,16 +7,16 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Figures of the busy system that BenchmarkReplay plays: 350 workers of 8
-// accelerators, all of them in use, workflows of 30 tasks.
+// Size of the fully used cluster in BenchmarkReplay: 350 workers with 8 accelerators each,
+// workflows of 30 tasks.
 const (
 	replayWorkers      = 350
 	replayAccelerators = 8
 	replayTasks        = 30
 )
 
-// BenchmarkReplay measures one entry of a log that a replica applies again when it
-// starts: workflows are accepted, placed, begin and end while every accelerator of
+// BenchmarkReplay measures the time per entry of a log that a replica replays when it
+// starts: workflows are submitted, placed, started and finished while every accelerator of
 // the cluster is in use.
 func BenchmarkReplay(b *testing.B) {
 	log := newReplayLog()
@@ -35,12 +35,12 @@
 	}
 }
 
-// replayLog makes the commands of such a log.
+// replayLog generates the commands of such a log.
 type replayLog struct {
 	workflows int
-	// free are the accelerators that no run has.
+	// free holds a placement for each free accelerator.
 	free []*controlpb.Placement
-	// running are the tasks in the order of their start.
+	// running holds the running tasks in start order.
 	running []*controlpb.Assignment
 }
 
@@ -55,7 +55,7 @@
 	return log
 }
 
-// full accepts and starts workflows until no accelerator is free.
+// full submits and starts workflows until too few accelerators are free for another.
 func (l *replayLog) full() []*controlpb.Command {
 	var commands []*controlpb.Command
 	for len(l.free) >= replayTasks {
@@ -64,7 +64,8 @@
 	return commands
 }
 
-// rounds gives n commands: the oldest tasks end, and a new workflow takes their place.
+// rounds returns n commands in which the oldest tasks finish and a new workflow takes
+// their accelerators.
 func (l *replayLog) rounds(n int) []*controlpb.Command {
 	var commands []*controlpb.Command
 	for len(commands) < n {
@@ -74,7 +75,7 @@
 	return commands[:n]
 }
 
-// accept submits a workflow, places its tasks in one plan and tells that they run.
+// accept submits a workflow, places its tasks in one plan and reports them running.
 func (l *replayLog) accept() []*controlpb.Command {
 	l.workflows++
 	w := &controlpb.Workflow{
@@ -99,7 +100,7 @@
 	}
 }
 
-// finish ends the oldest tasks, a few in each entry as workers report them.
+// finish reports the oldest tasks finished, a few per entry as workers report them.
 func (l *replayLog) finish() []*controlpb.Command {
 	const perEntry = 6
 	var commands []*controlpb.Command
--- a/internal/state/store/sessions.go
+++ b/internal/state/store/sessions.go
@@ -10,25 +10,25 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// A session lets a client resend a command whose answer was lost: the command
-// runs once and the resend gets the first result. A client may have several
-// commands on their way, which arrive in any order, so a session keeps the
-// results of its newest sequences and not of the last alone.
+// A session lets a client resend a command whose response was lost: the command is
+// applied once and the resend gets the first result. A client may have several commands
+// in flight, which arrive in any order, so a session keeps the results of its newest
+// sequence numbers and not only the last one.
 const (
-	// sessionLife is how long a session is kept after its newest command.
-	sessionLife = time.Hour
-	// sessionMinLife is how long it is kept even where room is wanted: longer
-	// than any client goes on resending. To forget one sooner would let a resend
-	// run a second time.
-	sessionMinLife = 5 * time.Minute
-	// maxSessions and maxSessionResults bound the memory.
+	// sessionRetention is how long a session is kept after its newest command.
+	sessionRetention = time.Hour
+	// sessionMinRetention is how long a session is kept even when the table is full: longer
+	// than any client keeps resending. Evicting one sooner would let a resend run a
+	// second time.
+	sessionMinRetention = 5 * time.Minute
+	// maxSessions and maxSessionResults limit the memory of all sessions.
 	maxSessions       = 8192
 	maxSessionResults = 32
 )
 
-// resent finds the result of a command that was applied before. A sequence
-// older than those kept is refused: whether it ran is no longer known.
-func (s *State) resent(index uint64, command *controlpb.Command) (*controlpb.Result, bool) {
+// storedResult returns the result of a command that was applied before. A sequence
+// number older than those kept is refused, because it is unknown whether it was applied.
+func (s *State) storedResult(index uint64, command *controlpb.Command) (*controlpb.Result, bool) {
 	if command.Client == "" {
 		return nil, false
 	}
@@ -47,22 +47,22 @@
 	return nil, false
 }
 
-// admitSession refuses a new client while every kept session may still see a
-// resend.
+// admitSession refuses a new client while the table is full and every session may still
+// get a resend.
 func (s *State) admitSession(index uint64) (*controlpb.Result, bool) {
 	if s.sessions.Len() < maxSessions {
 		return nil, false
 	}
 	_, oldest, _ := s.sessionAges.Root().Minimum()
 	session, _ := s.sessions.Get([]byte(oldest))
-	if session.TimeMs < s.timeMs-sessionMinLife.Milliseconds() {
+	if session.TimeMs < s.timeMs-sessionMinRetention.Milliseconds() {
 		return nil, false
 	}
 	return refusal(index, failure.Overloaded, "too many client sessions"), true
 }
 
-// remember keeps the result for a resend.
-func (s *State) remember(command *controlpb.Command, result *controlpb.Result) {
+// storeResult stores the result in the client's session.
+func (s *State) storeResult(command *controlpb.Command, result *controlpb.Result) {
 	if command.Client == "" {
 		return
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-// dropLowest forgets the result with the lowest sequence.
+// dropLowest removes the result with the lowest sequence number.
 func dropLowest(session *controlpb.Session) {
 	lowest := 0
 	for i, kept := range session.Results {
@@ -95,7 +95,7 @@
 	session.Results = append(session.Results[:lowest:lowest], session.Results[lowest+1:]...)
 }
 
-// expireSessions drops those past their life, oldest first.
+// expireSessions removes sessions past their retention, oldest first.
 func (s *State) expireSessions() {
 	for range maxExpiredPerApply {
 		_, client, ok := s.sessionAges.Root().Minimum()
@@ -103,7 +103,7 @@
 			return
 		}
 		session, _ := s.sessions.Get([]byte(client))
-		if session.TimeMs >= s.timeMs-sessionLife.Milliseconds() {
+		if session.TimeMs >= s.timeMs-sessionRetention.Milliseconds() {
 			return
 		}
 		s.dropOldestSession()
@@ -116,7 +116,7 @@
 	s.sessions, _, _ = s.sessions.Delete([]byte(client))
 }
 
-// fillSessionAges orders restored sessions by their newest command.
+// fillSessionAges builds the index of sessions by their newest command.
 func fillSessionAges(sessions []*controlpb.Session) *table[string] {
 	txn := iradix.New[string]().Txn()
 	for _, session := range sessions {
@@ -125,5 +125,5 @@
 	return txn.Commit()
 }
 
-// ageKey sorts by log index.
+// ageKey encodes a log index so that keys sort by it.
 func ageKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
--- a/internal/state/store/state_test.go
+++ b/internal/state/store/state_test.go
@@ -21,10 +21,10 @@
 	return data
 }
 
-// Replicas that applied the same log have the same bytes, also where one of
-// them was restored from a snapshot somewhere in between. Otherwise a restart
-// would change what a replica answers.
-func TestSameLogSameBytes(t *testing.T) {
+// Replicas that applied the same log encode to the same bytes, even if one of them was
+// restored from a snapshot in between. Otherwise a restart would change the replica's
+// results.
+func TestReplicasAreByteIdentical(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		direct, restored := store.New(), store.New()
 		now := int64(1_000_000)
@@ -92,69 +92,70 @@
 	return command
 }
 
-// change is a command of a client that always succeeds once per key.
-func change(client string, sequence uint64, now int64, state *store.State) *controlpb.Command {
+// newSessionCommand returns a command of a client session that succeeds when it is first
+// applied.
+func newSessionCommand(client string, sequence uint64, now int64, state *store.State) *controlpb.Command {
 	item := &controlpb.Item{Key: fmt.Sprint("customer/", client, sequence)}
 	apply := &controlpb.ApplyItems{ExpectedRevision: state.Revision(), Set: []*controlpb.Item{item}}
 	return &controlpb.Command{Client: client, Sequence: sequence, TimeMs: now, Op: &controlpb.Command_Apply{Apply: apply}}
 }
 
-// A client has several commands on their way and a later one is applied first.
-// The earlier must run all the same, and a resend of any must get its first
-// result instead of running again.
-func TestSessionTakesCommandsInAnyOrder(t *testing.T) {
+// A client has several commands in flight and a later one is applied first. The earlier
+// ones must still be applied, and a resend of any of them must get the first result instead
+// of being applied again.
+func TestSessionAcceptsCommandsOutOfOrder(t *testing.T) {
 	is := is.New(t)
 	state, index := store.New(), uint64(0)
 	revisions := map[uint64]uint64{}
 	for _, sequence := range []uint64{3, 1, 7, 2} {
 		index++
 		var result *controlpb.Result
-		state, result = state.Apply(index, change("c", sequence, 1, state))
+		state, result = state.Apply(index, newSessionCommand("c", sequence, 1, state))
 		is.Equal(result.Code, "")
 		revisions[sequence] = result.Revision
 	}
 	for sequence, revision := range revisions {
 		index++
 		var result *controlpb.Result
-		state, result = state.Apply(index, change("c", sequence, 1, state))
+		state, result = state.Apply(index, newSessionCommand("c", sequence, 1, state))
 		is.Equal(result.Revision, revision)
 	}
 	is.Equal(state.Revision(), uint64(4))
 }
 
-// A client that goes on for long has its oldest results dropped. A resend of
-// one that old cannot be told from a new command, so it is refused, not run.
+// The oldest results of a long session are evicted. A resend of such a command can't be
+// distinguished from a new command, so it is refused instead of applied.
 func TestSessionForgetsOnlyWithRefusal(t *testing.T) {
 	is := is.New(t)
 	state := store.New()
 	for sequence := uint64(1); sequence <= 100; sequence++ {
-		state, _ = state.Apply(sequence, change("c", sequence, 1, state))
+		state, _ = state.Apply(sequence, newSessionCommand("c", sequence, 1, state))
 	}
-	state, result := state.Apply(101, change("c", 1, 1, state))
+	state, result := state.Apply(101, newSessionCommand("c", 1, 1, state))
 	is.Equal(result.Code, string(failure.StaleSequence))
 	is.Equal(state.Revision(), uint64(100))
 	is.True(len(state.Snapshot().Sessions[0].Results) < 50)
 }
 
-// More clients come than sessions are kept. Nobody whose answer may still be
-// on its way is forgotten, or a resend would run twice: newcomers are refused
-// as not run until old sessions may go.
+// There are more clients than sessions. A session whose client may still resend isn't
+// evicted, or a resend would be applied twice: new clients are refused without running
+// until old sessions may be evicted.
 func TestSessionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	state, index := store.New(), uint64(0)
 	var result *controlpb.Result
 	for result.GetCode() == "" {
 		index++
-		state, result = state.Apply(index, change(fmt.Sprint("c", index), 1, 1000, state))
+		state, result = state.Apply(index, newSessionCommand(fmt.Sprint("c", index), 1, 1000, state))
 		is.True(index < 100_000)
 	}
 	is.Equal(result.Code, string(failure.Overloaded))
-	state, result = state.Apply(index+1, change("c1", 1, 1000, state))
+	state, result = state.Apply(index+1, newSessionCommand("c1", 1, 1000, state))
 	is.Equal(result.Revision, uint64(1))
 
 	state = store.Restore(state.Snapshot())
 	later := int64(1000 + 6*60*1000)
-	state, result = state.Apply(index+2, change("late", 1, later, state))
+	state, result = state.Apply(index+2, newSessionCommand("late", 1, later, state))
 	is.Equal(result.Code, "")
 	is.True(len(state.Snapshot().Sessions) < int(index))
 
@@ -165,10 +166,10 @@
 	is.Equal(state.Snapshot().Sessions[0].Client, "late")
 }
 
-// A newer process wrote fields that this one does not know, into an item and
-// into the snapshot. After a restart of this older process they are still
-// there, and the newer one finds what it wrote.
-func TestNewerFieldsAreKept(t *testing.T) {
+// A newer version wrote fields that this one doesn't know into an item and into the
+// snapshot. They must survive a restart of this version, so that the newer one still finds
+// them.
+func TestUnknownFieldsArePreserved(t *testing.T) {
 	is := is.New(t)
 	newer := protowire.AppendTag(nil, 1000, protowire.BytesType)
 	newer = protowire.AppendString(newer, "of a newer process")
@@ -185,12 +186,12 @@
 	is.Equal([]byte(kept.Items[0].ProtoReflect().GetUnknown()), newer)
 }
 
-// A command that only a newer process knows must stop this one: passed over, it
-// would leave this state different from the others'.
-func TestNewerCommandIsNotPassedOver(t *testing.T) {
+// A command that only a newer version supports must be detected: if it were skipped, this
+// replica's state would diverge from the others'.
+func TestUnknownCommandIsNotSkipped(t *testing.T) {
 	is := is.New(t)
 	is.True(store.Understands(&controlpb.Command{}))
-	is.True(store.Understands(change("c", 1, 1, store.New())))
+	is.True(store.Understands(newSessionCommand("c", 1, 1, store.New())))
 	newer := protowire.AppendTag(nil, 1000, protowire.BytesType)
 	newer = protowire.AppendBytes(newer, nil)
 	is.True(!store.Understands(decode(t, newer)))
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -1,8 +1,9 @@
-// Package store is the control state machine: the same log gives the same
-// state. It reads no clock and no random source; time comes in commands.
+// Package store is the replicated state machine of the control plane. It is
+// deterministic: the same log gives the same state. It reads no clock and no random
+// source; commands carry the time in Unix milliseconds.
 //
-// A State is immutable. Apply gives the next one and shares what did not
-// change, so traffic reads a State without a lock while control goes on.
+// A State is immutable. Apply returns the next one, which shares unchanged data with its
+// predecessor, so requests can read a State without locks while commands are applied.
 package store
 
 import (
@@ -27,31 +28,30 @@
 	active   *table[*controlpb.Job]
 	held     *heldTable
 	claims   *table[*controlpb.Claim]
-	// claimExpiry orders the keys of claims by the time that they expire.
+	// claimExpiry orders the keys of claims by expiry time.
 	claimExpiry *table[struct{}]
 	spent       *table[*controlpb.SpentKeys]
 	spentCounts *table[int]
 	sessions    *table[*controlpb.Session]
-	// sessionAges orders the clients by the index of their newest command.
+	// sessionAges orders clients by the log index of their newest command.
 	sessionAges *table[string]
-	// unknown are the fields that a newer process put into a snapshot.
+	// unknown holds snapshot fields written by a newer version.
 	unknown []byte
 	drained *table[bool]
-	// health holds the workers with failures, occurrences the last due work of
-	// each entry.
+	// health holds workers with failures, occurrences the last due work of each entry.
 	health      *table[*controlpb.WorkerHealth]
 	occurrences *table[*controlpb.Occurrence]
-	// workflows are all that are kept, openWorkflows those that have not ended.
+	// workflows holds all retained workflows, openWorkflows those that have not ended.
 	workflows     *table[*controlpb.Workflow]
 	openWorkflows *table[*controlpb.Workflow]
-	// document is nil before the first; it never changes once it is here.
+	// document is nil until one is set. It is replaced, never modified.
 	document *controlpb.Document
 	replicas []*controlpb.ReplicaInstance
 	// creditMembers is never nil.
 	creditMembers *controlpb.CreditMembers
 }
 
-// New gives the empty state before the first entry.
+// New returns the empty state before the first log entry.
 func New() *State {
 	return &State{
 		items:       iradix.New[*controlpb.Item](),
@@ -75,13 +75,14 @@
 	}
 }
 
-// Index is the log index of the newest applied entry.
+// Index returns the log index of the newest applied entry.
 func (s *State) Index() uint64 { return s.index }
 
-// Revision counts accepted changes of the declarations; it never goes back.
+// Revision returns the number of accepted changes to the declarations. It never
+// decreases.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Time is the newest time that a command carried.
+// Time returns the latest time that an applied command carried.
 func (s *State) Time() time.Time { return time.UnixMilli(s.timeMs) }
 
 // Items lists the declarations in key order.
@@ -105,7 +106,7 @@
 	return item.GetService(), ok
 }
 
-// Rules gives the declared rules, or the zero rules.
+// Rules returns the declared rules, or nil, which reads as zero rules.
 func (s *State) Rules() *controlpb.Rules {
 	item, _ := s.items.Get([]byte(declaration.RulesKey))
 	return item.GetRules()
@@ -114,11 +115,11 @@
 // Job looks up one job.
 func (s *State) Job(id string) (*controlpb.Job, bool) { return s.jobs.Get([]byte(id)) }
 
-// Jobs lists every kept job in the order of their ids.
+// Jobs lists every retained job in the order of their ids.
 func (s *State) Jobs() []*controlpb.Job { return list(s.jobs) }
 
-// ActiveJobs lists the jobs that have not ended: one scheduling pass costs
-// what is open, not what has ever run.
+// ActiveJobs lists the jobs that have not ended, in the order of their ids, so that the
+// cost of a scheduling pass depends on open jobs only and not on all retained ones.
 func (s *State) ActiveJobs() []*controlpb.Job { return list(s.active) }
 
 // Active counts the jobs that have not ended.
@@ -129,13 +130,14 @@
 	return s.claims.Get(claimKey(customer, key))
 }
 
-// Drained tells whether an operator has drained the upstream.
+// Drained reports whether an operator has drained the upstream.
 func (s *State) Drained(upstream string) bool {
 	drained, _ := s.drained.Get([]byte(upstream))
 	return drained
 }
 
-// Snapshot gives the state in its stable form, every list sorted by key.
+// Snapshot returns the state in its serialized form with every list sorted by key, so
+// that equal states have equal encodings.
 func (s *State) Snapshot() *controlpb.Snapshot {
 	snapshot := &controlpb.Snapshot{
 		Index:       s.index,
@@ -159,21 +161,21 @@
 	return snapshot
 }
 
-// Restore gives the state that a snapshot was made of.
+// Restore returns the state from which the snapshot was made.
 func Restore(snapshot *controlpb.Snapshot) *State {
 	s := New()
 	s.index = snapshot.Index
 	s.revision = snapshot.Revision
 	s.timeMs = snapshot.TimeMs
-	s.items = fill(snapshot.Items, func(i *controlpb.Item) []byte { return []byte(i.Key) })
-	s.jobs = fill(snapshot.Jobs, func(j *controlpb.Job) []byte { return []byte(j.Id) })
+	s.items = buildTable(snapshot.Items, func(i *controlpb.Item) []byte { return []byte(i.Key) })
+	s.jobs = buildTable(snapshot.Jobs, func(j *controlpb.Job) []byte { return []byte(j.Id) })
 	s.restoreClaims(snapshot)
 	s.restoreWorkflows(snapshot.Workflows)
 	s.document = snapshot.Document
 	s.replicas = snapshot.Replicas
 	s.unknown = snapshot.ProtoReflect().GetUnknown()
 	s.sessionAges = fillSessionAges(snapshot.Sessions)
-	s.sessions = fill(snapshot.Sessions, func(v *controlpb.Session) []byte { return []byte(v.Client) })
+	s.sessions = buildTable(snapshot.Sessions, func(v *controlpb.Session) []byte { return []byte(v.Client) })
 	active := iradix.New[*controlpb.Job]().Txn()
 	for _, job := range snapshot.Jobs {
 		if !Ended(job.State) {
@@ -181,21 +183,21 @@
 		}
 	}
 	s.active = active.Commit()
-	s.held = fillHeld(list(s.active))
+	s.held = buildHeld(list(s.active))
 	drained := iradix.New[bool]().Txn()
 	for _, upstream := range snapshot.Drained {
 		drained.Insert([]byte(upstream), true)
 	}
 	s.drained = drained.Commit()
-	s.health = fill(snapshot.Health, func(h *controlpb.WorkerHealth) []byte { return []byte(h.Worker) })
+	s.health = buildTable(snapshot.Health, func(h *controlpb.WorkerHealth) []byte { return []byte(h.Worker) })
 	if snapshot.CreditMembers != nil {
 		s.creditMembers = snapshot.CreditMembers
 	}
-	s.occurrences = fill(snapshot.Occurrences, func(o *controlpb.Occurrence) []byte { return []byte(o.Entry) })
+	s.occurrences = buildTable(snapshot.Occurrences, func(o *controlpb.Occurrence) []byte { return []byte(o.Entry) })
 	return s
 }
 
-// Ended tells whether a job in that state will never run again.
+// Ended reports whether a job in the given state will never run again.
 func Ended(state controlpb.JobState) bool {
 	switch state {
 	case controlpb.JobState_JOB_STATE_COMPLETED,
@@ -206,7 +208,7 @@
 	return false
 }
 
-// StateName is a job's state as logs and tables name it, in capitals.
+// StateName returns the name of a job state as used in logs and tables, in capitals.
 func StateName(state controlpb.JobState) string {
 	return strings.TrimPrefix(state.String(), "JOB_STATE_")
 }
@@ -226,7 +228,7 @@
 	})
 }
 
-func fill[T any](values []T, key func(T) []byte) *table[T] {
+func buildTable[T any](values []T, key func(T) []byte) *table[T] {
 	txn := iradix.New[T]().Txn()
 	for _, value := range values {
 		txn.Insert(key(value), value)
--- a/internal/state/store/workflows.go
+++ b/internal/state/store/workflows.go
@@ -9,9 +9,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// endedWorkflowLife is how long an ended workflow can be looked up: callers ask
-// for a result well after it came, and a resend of its submission must find it.
-const endedWorkflowLife = 10 * 60 * 1000
+// endedWorkflowRetention is how long, in milliseconds, an ended workflow can be looked
+// up: callers ask for a result well after it is available, and a resend of the submission
+// must find it.
+const endedWorkflowRetention = 10 * 60 * 1000
 
 // Workflow looks up a workflow by its id.
 func (s *State) Workflow(id string) (*controlpb.Workflow, bool) { return s.workflows.Get([]byte(id)) }
@@ -19,7 +20,7 @@
 // OpenWorkflows lists the workflows that have not ended, by id.
 func (s *State) OpenWorkflows() []*controlpb.Workflow { return list(s.openWorkflows) }
 
-// Pending counts the workflows of a queue of which no task has started.
+// Pending counts the workflows of a queue that have not started any task.
 func (s *State) Pending(queue string) int {
 	pending := 0
 	walk(s.openWorkflows, func(_ string, w *controlpb.Workflow) {
@@ -30,7 +31,7 @@
 	return pending
 }
 
-// WorkflowEnded tells a state that a workflow never leaves.
+// WorkflowEnded reports whether the state is final.
 func WorkflowEnded(state controlpb.WorkflowState) bool {
 	switch state {
 	case controlpb.WorkflowState_WORKFLOW_STATE_COMPLETED,
@@ -41,7 +42,8 @@
 	return false
 }
 
-// submitWorkflow accepts a workflow once: the same id again gets it as it stands.
+// submitWorkflow accepts a workflow once: a second submission with the same id returns
+// the existing one.
 func (s *State) submitWorkflow(op *controlpb.SubmitWorkflow) *controlpb.Result {
 	if known, ok := s.Workflow(op.Workflow.Id); ok {
 		if known.Queue != op.Workflow.Queue {
@@ -72,8 +74,8 @@
 	return &controlpb.Result{Workflow: w}
 }
 
-// startRepetitions starts occurrences up to the number that is due; what another
-// leader started already is passed over.
+// startRepetitions starts repetitions up to the number that is due. Those that another
+// leader has started are skipped.
 func (s *State) startRepetitions(op *controlpb.StartRepetitions) *controlpb.Result {
 	for _, due := range op.Due {
 		w, ok := s.Workflow(due.Workflow)
@@ -100,7 +102,7 @@
 	s.startReadySteps(w, progress)
 }
 
-// startReadySteps turns each step whose predecessors are done into jobs.
+// startReadySteps creates the jobs of each step whose predecessors are done.
 func (s *State) startReadySteps(w *controlpb.Workflow, progress *controlpb.RepetitionProgress) {
 	for number, step := range w.Steps {
 		if progress.Started[number] || !ready(w, progress, step) {
@@ -120,10 +122,10 @@
 	return true
 }
 
-// startStep makes one job of a gang, and one of each task of another step.
+// startStep creates one job for a gang step, and one job per task for any other step.
 func (s *State) startStep(w *controlpb.Workflow, progress *controlpb.RepetitionProgress, number uint32) {
 	step := w.Steps[number]
-	job := s.unit(w, progress.Number, number)
+	job := s.stepJob(w, progress.Number, number)
 	if step.Gang {
 		job.Id = stepName(w.Id, progress.Number, number)
 		job.Tasks = step.Count
@@ -144,13 +146,13 @@
 	return workflow + "." + strconv.Itoa(int(repetition)) + "." + strconv.Itoa(int(step))
 }
 
-// TaskName names one task of a workflow: ID.REPETITION.STEP.INDEX.
+// TaskName returns the name of a task of a workflow job: ID.REPETITION.STEP.INDEX.
 func TaskName(job *controlpb.Job, task uint32) string {
 	return stepName(job.Workflow, job.Repetition, job.Step) + "." + strconv.Itoa(int(job.FirstTask+task))
 }
 
-// unit is what all jobs of a step have in common.
-func (s *State) unit(w *controlpb.Workflow, repetition, number uint32) *controlpb.Job {
+// stepJob returns a job with the fields that all jobs of a step share.
+func (s *State) stepJob(w *controlpb.Workflow, repetition, number uint32) *controlpb.Job {
 	step := w.Steps[number]
 	return &controlpb.Job{
 		Customer:       w.Customer,
@@ -159,7 +161,7 @@
 		CoresMilli:     step.CoresMilli,
 		MemoryMb:       step.MemoryMb,
 		RunTimeMs:      step.RunTimeMs,
-		DeadlineMs:     objective(w, repetition, s.timeMs),
+		DeadlineMs:     targetCompletion(w, repetition, s.timeMs),
 		Priority:       w.Priority,
 		Urgent:         w.Priority == 0,
 		Idempotent:     true,
@@ -178,9 +180,10 @@
 	}
 }
 
-// objective is when the work should have completed: the longest chain of
-// estimates, stretched by the queue's slack, and its target latency.
-func objective(w *controlpb.Workflow, repetition uint32, nowMs int64) int64 {
+// targetCompletion returns the time, in Unix milliseconds, by which a repetition should be
+// complete: the critical path of the estimated run times multiplied by the queue's slack,
+// plus its target latency.
+func targetCompletion(w *controlpb.Workflow, repetition uint32, nowMs int64) int64 {
 	from := w.SubmittedMs
 	if w.Repetitions > 0 {
 		from = w.FirstDueMs + int64(repetition)*w.EveryMs
@@ -188,10 +191,10 @@
 	if from == 0 {
 		from = nowMs
 	}
-	return from + longestChain(w)*int64(w.SlackThousandths)/1000 + w.TargetLatencyMs
+	return from + criticalPath(w)*int64(w.SlackThousandths)/1000 + w.TargetLatencyMs
 }
 
-func longestChain(w *controlpb.Workflow) int64 {
+func criticalPath(w *controlpb.Workflow) int64 {
 	chains := make([]int64, len(w.Steps))
 	longest := int64(0)
 	for number, step := range w.Steps {
@@ -204,8 +207,8 @@
 	return longest
 }
 
-// unitStarted notes that a task of the workflow runs.
-func (s *State) unitStarted(job *controlpb.Job) {
+// workflowJobStarted marks the job's workflow as running.
+func (s *State) workflowJobStarted(job *controlpb.Job) {
 	w, ok := s.Workflow(job.Workflow)
 	if !ok || w.State != controlpb.WorkflowState_WORKFLOW_STATE_QUEUED {
 		return
@@ -215,9 +218,9 @@
 	s.putWorkflow(w)
 }
 
-// unitEnded brings the workflow forward when one of its jobs has ended. Jobs of
-// an ended workflow are dropped as they end: nothing refers to them any more.
-func (s *State) unitEnded(job *controlpb.Job) {
+// workflowJobEnded advances the workflow of a job that has ended. Jobs of an ended
+// workflow are removed as they end, because nothing refers to them.
+func (s *State) workflowJobEnded(job *controlpb.Job) {
 	w, ok := s.Workflow(job.Workflow)
 	if !ok || WorkflowEnded(w.State) {
 		s.jobs, _, _ = s.jobs.Delete([]byte(job.Id))
@@ -226,13 +229,13 @@
 	w = proto.CloneOf(w)
 	switch job.State {
 	case controlpb.JobState_JOB_STATE_COMPLETED:
-		s.unitDone(w, job)
+		s.workflowJobCompleted(w, job)
 	case controlpb.JobState_JOB_STATE_PARKED:
 		s.endWorkflow(w, controlpb.WorkflowState_WORKFLOW_STATE_FAILED)
 	}
 }
 
-func (s *State) unitDone(w *controlpb.Workflow, job *controlpb.Job) {
+func (s *State) workflowJobCompleted(w *controlpb.Workflow, job *controlpb.Job) {
 	for at, progress := range w.Progress {
 		if progress.Number != job.Repetition {
 			continue
@@ -262,9 +265,9 @@
 	return true
 }
 
-// endWorkflow ends a workflow and stops what still runs of it. What only its runs
-// needed is dropped: an ended workflow is kept for minutes so that its state can be
-// asked for, and is sent to every instance that starts anew.
+// endWorkflow ends a workflow and stops its open jobs. Fields needed only while it runs
+// are cleared: an ended workflow is retained for minutes so that its state can be queried,
+// and is part of the snapshot sent to every instance that starts without state.
 func (s *State) endWorkflow(w *controlpb.Workflow, state controlpb.WorkflowState) {
 	w.State = state
 	w.EndedMs = s.timeMs
@@ -272,7 +275,7 @@
 	s.putWorkflow(w)
 	for _, job := range s.Units(w.Id) {
 		if state == controlpb.WorkflowState_WORKFLOW_STATE_FAILED {
-			s.clearBlame(job)
+			s.clearJobFailures(job)
 		}
 		if Ended(job.State) {
 			s.jobs, _, _ = s.jobs.Delete([]byte(job.Id))
@@ -284,17 +287,17 @@
 	}
 }
 
-// Units lists the kept jobs of a workflow.
+// Units lists the retained jobs of a workflow.
 func (s *State) Units(workflow string) []*controlpb.Job {
-	var units []*controlpb.Job
+	var jobs []*controlpb.Job
 	s.jobs.Root().WalkPrefix([]byte(workflow+"."), func(_ []byte, job *controlpb.Job) bool {
-		// The id of another workflow may begin with this one's.
+		// The id of another workflow may begin with this workflow's id and a dot.
 		if job.Workflow == workflow {
-			units = append(units, job)
+			jobs = append(jobs, job)
 		}
 		return false
 	})
-	return units
+	return jobs
 }
 
 func (s *State) putWorkflow(w *controlpb.Workflow) {
@@ -313,7 +316,7 @@
 	}
 }
 
-// oldWorkflow tells an ended workflow past its life.
-func (s *State) oldWorkflow(w *controlpb.Workflow) bool {
-	return WorkflowEnded(w.State) && w.EndedMs < s.timeMs-endedWorkflowLife
+// workflowExpired reports whether the workflow has ended and is past its retention.
+func (s *State) workflowExpired(w *controlpb.Workflow) bool {
+	return WorkflowEnded(w.State) && w.EndedMs < s.timeMs-endedWorkflowRetention
 }
--- a/internal/state/store/workflows_test.go
+++ b/internal/state/store/workflows_test.go
@@ -10,7 +10,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// workflowLog applies commands at rising indexes.
+// workflowLog applies commands at increasing log indexes.
 type workflowLog struct {
 	t     *testing.T
 	state *State
@@ -34,7 +34,7 @@
 	return l.apply(0, &controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: id, Queue: "q"}}})
 }
 
-// place puts a waiting job on workers, runs it, and gives its epoch.
+// place places a waiting job, reports it running, and returns its epoch.
 func (l *workflowLog) place(job string) uint64 {
 	l.t.Helper()
 	placed, ok := l.state.Job(job)
@@ -86,13 +86,14 @@
 
 const (
 	queued    = controlpb.WorkflowState_WORKFLOW_STATE_QUEUED
-	inWork    = controlpb.WorkflowState_WORKFLOW_STATE_RUNNING
+	running   = controlpb.WorkflowState_WORKFLOW_STATE_RUNNING
 	completed = controlpb.WorkflowState_WORKFLOW_STATE_COMPLETED
 	failed    = controlpb.WorkflowState_WORKFLOW_STATE_FAILED
 	cancelled = controlpb.WorkflowState_WORKFLOW_STATE_CANCELLED
 )
 
-// diamond is a gang of 2, then two tasks beside a gang, then one task.
+// diamond returns a workflow of a gang of 2, followed by two single tasks in parallel with a
+// gang of 3, followed by one task.
 func diamond() *controlpb.Workflow {
 	return &controlpb.Workflow{Id: "w", Queue: "q", MaxAttempts: 2, SlackThousandths: 2000, TargetLatencyMs: 10, Steps: []*controlpb.Step{
 		{Count: 2, Gang: true, RunTimeMs: 100},
@@ -109,7 +110,7 @@
 	is.Equal(l.state.Pending("q"), 1)
 	is.Equal(l.waiting(), []string{"w.0.0"})
 	l.finish("w.0.0")
-	is.Equal(l.stateOf("w"), inWork)
+	is.Equal(l.stateOf("w"), running)
 	is.Equal(l.state.Pending("q"), 0)
 	is.Equal(l.waiting(), []string{"w.0.1.0", "w.0.1.1", "w.0.2"})
 	l.finish("w.0.1.0")
@@ -118,30 +119,29 @@
 	l.finish("w.0.1.1")
 	is.Equal(l.waiting(), []string{"w.0.3.0"})
 	job, _ := l.state.Job("w.0.3.0")
-	is.Equal(job.DeadlineMs, int64(1000+2*(100+70+30)+10)) // the longest chain, stretched
+	is.Equal(job.DeadlineMs, int64(1000+2*(100+70+30)+10)) // the critical path times the slack
 	l.finish("w.0.3.0")
 	is.Equal(l.stateOf("w"), completed)
 	is.Equal(len(l.state.Jobs()), 0)
 }
 
-// The answer to a submission is lost and the caller sends it again, also seconds
-// after another answer came. It must stay one workflow, and in another queue the
-// same id must not take over the first.
+// The response to a submission is lost and the caller resends it, possibly seconds later.
+// It must remain one workflow, and the same id in another queue must not replace it.
 func TestResentSubmissionStaysOneWorkflow(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	l.submit(0, diamond())
 	l.finish("w.0.0")
 	again := l.submit(0, diamond())
 	is.Equal(again.Code, "")
-	is.Equal(again.Workflow.State, inWork)
+	is.Equal(again.Workflow.State, running)
 	is.Equal(len(l.waiting()), 3)
 	other := diamond()
 	other.Queue = "other"
 	is.Equal(l.submit(0, other).Code, string(failure.Conflict))
 }
 
-// A task fails as often as its queue allows; a run that its worker lost does not
-// count. The workflow has failed then, and what else runs of it is stopped.
+// A task fails as often as its queue allows, where a run whose lease was lost doesn't
+// count. The workflow then fails, and its other tasks are stopped.
 func TestWorkflowFailsWithTheLastAttemptOfATask(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	w := &controlpb.Workflow{Id: "w", Queue: "q", MaxAttempts: 2, Steps: []*controlpb.Step{{Count: 2}}}
@@ -165,8 +165,9 @@
 	is.Equal(len(l.state.Jobs()), 0)
 }
 
-// A few workflows that can never be done take well workers out of service: each of their
-// tasks fails on some, and only the one that used up its attempts is forgiven.
+// A few workflows that can never succeed must not put healthy workers in quarantine. Their
+// tasks fail on many workers, and if only the failures of the task that used up its attempts
+// were cleared, those of its sibling tasks would still count against the workers.
 func TestFailedWorkflowQuarantinesNoWorkers(t *testing.T) {
 	is := is.New(t)
 	l := newWorkflowLog(t)
@@ -187,8 +188,8 @@
 	is.Equal(l.state.Health("i-1"), nil)
 }
 
-// A failure is reported twice for one run, as by a member of a gang and then with
-// its stop. It is one failed attempt.
+// A failure is reported twice for one run, for example by a member of a gang and again with
+// its stop. It counts as one failed attempt.
 func TestOneRunFailsOnce(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	l.submit(0, &controlpb.Workflow{Id: "w", Queue: "q", MaxAttempts: 3, Steps: []*controlpb.Step{{Count: 1}}})
@@ -201,8 +202,8 @@
 	is.Equal(job.Checkpoint, "c1")
 }
 
-// A cancel meets tasks that wait, that run and steps that are not ready. Nothing of
-// it starts any more, and the cancel sent again is acknowledged again.
+// A workflow with waiting tasks, running tasks and steps that aren't ready is cancelled.
+// None of it starts afterwards, and a repeated cancellation is acknowledged.
 func TestCancelledWorkflowStartsNothing(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	l.submit(0, diamond())
@@ -218,8 +219,8 @@
 	is.Equal(l.cancel("none").Code, string(failure.NotFound))
 }
 
-// Two leaders start what is due, the second from an older look. Each occurrence
-// starts once, and the workflow has completed with its last.
+// Two leaders start due repetitions, the second one from an older state. Each repetition
+// starts once, and the workflow completes with the last one.
 func TestOccurrencesStartOnce(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	l.submit(0, &controlpb.Workflow{Id: "w", Queue: "q", FirstDueMs: 1000, EveryMs: 500, Repetitions: 3, Steps: []*controlpb.Step{{Count: 1}}})
@@ -233,15 +234,15 @@
 	is.Equal(l.waiting(), []string{"w.0.0.0", "w.1.0.0"})
 	l.finish("w.1.0.0")
 	l.finish("w.0.0.0")
-	is.Equal(l.stateOf("w"), inWork)
+	is.Equal(l.stateOf("w"), running)
 	start(9)
 	is.Equal(l.waiting(), []string{"w.2.0.0"})
 	l.finish("w.2.0.0")
 	is.Equal(l.stateOf("w"), completed)
 }
 
-// A replica restores a snapshot in the middle of a workflow and goes on like the
-// others: the same commands give the same bytes.
+// A replica restores a snapshot in the middle of a workflow. The same commands must lead to
+// the same state as on the other replicas.
 func TestSnapshotInTheMiddleOfAWorkflow(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	l.submit(0, diamond())
@@ -267,8 +268,8 @@
 	return &controlpb.Command{Op: &controlpb.Command_Replace{Replace: replace}}
 }
 
-// Documents come late, again, and under a number that is held with other content.
-// All are acknowledged; only a higher version changes anything.
+// Documents arrive late, repeatedly, and with other content under a version already in use.
+// All are acknowledged; only a higher version changes the state.
 func TestOnlyAHigherVersionReplacesTheDeclarations(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	l.apply(0, document(7, "seven", "a", "b"))
@@ -284,8 +285,9 @@
 	is.Equal(len(l.state.Queues()), 1)
 }
 
-// Ended workflows are kept for minutes, and every instance that starts anew is sent
-// them over a thin link. Texts may have 4,000 bytes each.
+// Ended workflows are retained for minutes and are part of the snapshot that an instance
+// starting without state gets, possibly over a slow link. Specifications may have 4,000
+// bytes each.
 func TestEndedWorkflowIsSmall(t *testing.T) {
 	is, l := is.New(t), newWorkflowLog(t)
 	w := &controlpb.Workflow{Id: "w", Queue: "q", Specification: string(make([]byte, 4000)), Steps: []*controlpb.Step{{Count: 1}}}
