--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -1,7 +1,6 @@
-// Package disk is the access to files of the control state. It is an interface
-// so that tests can inject torn writes, failed syncs and full disks. Nothing
-// written lasts before the file is synced, and no new name before its folder
-// is synced.
+// Package disk provides file access for the control state, behind an interface so that
+// tests can inject torn writes, failed syncs and full disks. Data is durable only once its
+// file is synced, and a new name only once its directory is synced.
 package disk
 
 import (
@@ -17,30 +16,30 @@
 )
 
 const (
-	folderAccess = 0o700
-	fileAccess   = 0o600
-	// asideSuffix marks a file that is still being written. A crash leaves it
-	// behind; it is never read.
-	asideSuffix = ".aside"
+	dirMode  = 0o700
+	fileMode = 0o600
+	// tempSuffix is the suffix of a file that is being written. A crash may leave such a
+	// file behind; it is never read.
+	tempSuffix = ".aside"
 )
 
 // FS is the file access that the state packages need.
 type FS interface {
-	// MakeFolder makes a folder and its parents.
+	// MakeFolder creates a directory and its parents.
 	MakeFolder(path string) error
-	// Create makes an empty file, in place of an old one.
+	// Create creates an empty file, replacing an existing one.
 	Create(path string) (File, error)
 	// Open opens an existing file.
 	Open(path string) (File, error)
-	// Names lists the files of a folder in order.
-	Names(folder string) ([]string, error)
+	// Names lists the names of the regular files in a directory in order.
+	Names(dir string) ([]string, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncFolder makes the names in a folder last.
-	SyncFolder(path string) error
+	// SyncDir makes the names in a directory durable.
+	SyncDir(path string) error
 }
 
-// File is one open file. Write appends.
+// File is an open file. Write appends.
 type File interface {
 	io.Writer
 	io.ReaderAt
@@ -50,13 +49,13 @@
 	Sync() error
 }
 
-// OS is the machine's own file system.
+// OS is the file system of the operating system.
 type OS struct{}
 
-// MakeFolder makes a folder and its parents.
-func (OS) MakeFolder(path string) error { return os.MkdirAll(path, folderAccess) }
+// MakeFolder creates a directory and its parents.
+func (OS) MakeFolder(path string) error { return os.MkdirAll(path, dirMode) }
 
-// Create makes an empty file, in place of an old one.
+// Create creates an empty file, replacing an existing one.
 func (OS) Create(path string) (File, error) {
 	return open(path, os.O_CREATE|os.O_TRUNC)
 }
@@ -65,16 +64,16 @@
 func (OS) Open(path string) (File, error) { return open(path, 0) }
 
 func open(path string, flags int) (File, error) {
-	file, err := os.OpenFile(path, flags|os.O_RDWR|os.O_APPEND, fileAccess)
+	file, err := os.OpenFile(path, flags|os.O_RDWR|os.O_APPEND, fileMode)
 	if err != nil {
 		return nil, err
 	}
 	return osFile{file}, nil
 }
 
-// Names lists the files of a folder in order.
-func (OS) Names(folder string) ([]string, error) {
-	found, err := os.ReadDir(folder)
+// Names lists the names of the regular files in a directory in order.
+func (OS) Names(dir string) ([]string, error) {
+	found, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -87,20 +86,20 @@
 	return names, nil
 }
 
-// Rename gives a file another name, in place of an old file of that name.
+// Rename renames a file, replacing an existing one of the new name.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
 func (OS) Remove(path string) error { return os.Remove(path) }
 
-// SyncFolder makes the names in a folder last.
-func (OS) SyncFolder(path string) error {
-	folder, err := os.Open(path)
+// SyncDir makes the names in a directory durable.
+func (OS) SyncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer dir.Close()
+	return dir.Sync()
 }
 
 type osFile struct{ *os.File }
@@ -113,7 +112,7 @@
 	return info.Size(), nil
 }
 
-// ReadFile reads a whole file; found is false where there is none.
+// ReadFile reads a whole file; found is false if it doesn't exist.
 func ReadFile(files FS, path string) (content []byte, found bool, err error) {
 	file, err := files.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -144,9 +143,8 @@
 	return content[:n], nil
 }
 
-// Fault makes the failure of an access to a disk: DiskFull where there is no room
-// for the bytes, OutOfDescriptors where a file could not be opened for want of one,
-// DiskFailed otherwise.
+// Fault wraps an error of a file operation: as DiskFull if there was no free space or
+// quota, as OutOfDescriptors if no file descriptor was available, as DiskFailed otherwise.
 func Fault(err error, format string, args ...any) *failure.Error {
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
@@ -157,14 +155,15 @@
 	return failure.Wrap(failure.DiskFailed, err, format, args...)
 }
 
-// MayTryAgain tells an access that found no room or no descriptor: the disk is well, and
-// the same access may succeed later.
+// MayTryAgain reports whether the error is a lack of free space or of file descriptors: the
+// disk has not failed, and the same operation may succeed later.
 func MayTryAgain(err error) bool {
 	return failure.Is(err, failure.DiskFull) || failure.Is(err, failure.OutOfDescriptors)
 }
 
-// Replace writes a file aside, syncs it, renames it and syncs the folder: after
-// a crash there is the old file or the new one, whole.
+// Replace writes a file atomically: it writes and syncs a temporary file, renames it and
+// syncs the directory. After a crash, either the complete old file or the complete new one
+// exists.
 func Replace(files FS, path string, parts ...[]byte) error {
 	if err := replace(files, path, parts); err != nil {
 		return Fault(err, "write %s", path)
@@ -173,14 +172,14 @@
 }
 
 func replace(files FS, path string, parts [][]byte) error {
-	aside := path + asideSuffix
-	if err := writeNew(files, aside, parts); err != nil {
+	temp := path + tempSuffix
+	if err := writeNew(files, temp, parts); err != nil {
 		return err
 	}
-	if err := files.Rename(aside, path); err != nil {
+	if err := files.Rename(temp, path); err != nil {
 		return err
 	}
-	return files.SyncFolder(filepath.Dir(path))
+	return files.SyncDir(filepath.Dir(path))
 }
 
 func writeNew(files FS, path string, parts [][]byte) error {
@@ -197,17 +196,17 @@
 	return file.Sync()
 }
 
-// RemoveAside removes what a crash left half written in a folder.
-func RemoveAside(files FS, folder string) error {
-	names, err := files.Names(folder)
+// RemoveTemp removes the temporary files that a crash left in a directory.
+func RemoveTemp(files FS, dir string) error {
+	names, err := files.Names(dir)
 	if err != nil {
-		return Fault(err, "list %s", folder)
+		return Fault(err, "list %s", dir)
 	}
 	for _, name := range names {
-		if !strings.HasSuffix(name, asideSuffix) {
+		if !strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
-		if err := files.Remove(filepath.Join(folder, name)); err != nil {
+		if err := files.Remove(filepath.Join(dir, name)); err != nil {
 			return Fault(err, "remove %s", name)
 		}
 	}
--- a/internal/state/disk/disk_test.go
+++ b/internal/state/disk/disk_test.go
@@ -11,9 +11,10 @@
 	"pinewinch.example/pinewinch/internal/state/disk/disktest"
 )
 
-// A disk is wiped and the instance starts again under its old name. It must
-// come back as another replica, or its forgotten votes could elect two leaders.
-func TestIdentityIsBoundToTheFolder(t *testing.T) {
+// The disk of an instance is wiped and the instance restarts under its old name. It must
+// become a new replica: with the old identity and its votes lost, two leaders could be
+// elected.
+func TestIdentityIsBoundToDirectory(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	first, err := disk.Identity(files, "/data", "i1", false, ulid.Make())
@@ -33,23 +34,23 @@
 	is.True(failure.Is(err, failure.BadSettings))
 }
 
-// An operator starts the daemon twice on one data folder by mistake: the
-// second ends with a typed failure and the first goes on.
-func TestLockKeepsASecondProcessOut(t *testing.T) {
+// An operator starts the daemon twice on one data directory by mistake. The second process
+// must fail with FolderInUse, and the first must keep the lock.
+func TestLockExcludesSecondProcess(t *testing.T) {
 	is := is.New(t)
-	folder := t.TempDir()
-	lock, err := disk.TakeLock(folder)
+	dir := t.TempDir()
+	lock, err := disk.TakeLock(dir)
 	is.NoErr(err)
-	_, err = disk.TakeLock(folder)
+	_, err = disk.TakeLock(dir)
 	is.True(failure.Is(err, failure.FolderInUse))
 	is.NoErr(lock.Release())
-	_, err = disk.TakeLock(folder)
+	_, err = disk.TakeLock(dir)
 	is.NoErr(err)
 }
 
-// The power fails while a file is replaced: the old content or the new one is
-// there, never a part.
-func TestReplaceIsWhole(t *testing.T) {
+// Power is lost while a file is replaced: afterwards it has the old content or the new one,
+// never a part of it.
+func TestReplaceIsAtomic(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	is.NoErr(disk.Replace(files, "/f/a", []byte("old")))
--- a/internal/state/disk/disktest/disktest.go
+++ b/internal/state/disk/disktest/disktest.go
@@ -1,5 +1,5 @@
-// Package disktest is a file system in memory for tests: it forgets at a crash
-// what was not synced, and fails where it is told to.
+// Package disktest is an in-memory file system for tests. It loses unsynced data in a
+// simulated crash and injects faults on demand.
 package disktest
 
 import (
@@ -13,18 +13,18 @@
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
 
-// FS is the file system. Its exported fields inject faults; they are set while
-// no other goroutine uses it.
+// FS is the file system. Its exported fields inject faults and count operations. They may
+// be accessed only while no other goroutine uses the file system.
 type FS struct {
-	// Room is how many more bytes fit on the disk; negative for no limit.
+	// Room is the free space in bytes; negative means no limit.
 	Room int
-	// Opens is how many more files and folders can be opened before the process is out
-	// of descriptors; negative for no limit.
-	Opens int
-	// FailSyncs is how many of the next syncs of files fail. A failed sync drops
-	// the bytes but keeps showing them, as the page cache of a kernel does.
+	// FreeDescriptors is how many more files and directories can be opened before opening
+	// fails with EMFILE; negative means no limit.
+	FreeDescriptors int
+	// FailSyncs is how many of the next file syncs fail. After a failed sync the data is not
+	// durable but still readable, as from a kernel's page cache.
 	FailSyncs int
-	// SyncCount counts the syncs of files that worked, WriteCount the writes.
+	// SyncCount counts successful file syncs, WriteCount all writes.
 	SyncCount  int
 	WriteCount int
 
@@ -38,14 +38,13 @@
 	durable []byte
 }
 
-// New makes an empty file system.
+// New returns an empty file system without limits.
 func New() *FS {
-	return &FS{Room: -1, Opens: -1, names: map[string]*content{}, synced: map[string]*content{}}
+	return &FS{Room: -1, FreeDescriptors: -1, names: map[string]*content{}, synced: map[string]*content{}}
 }
 
-// Crash gives what the disk holds after power was lost: synced names with
-// synced bytes, and of what was appended since the first kept bytes (a torn
-// write).
+// Crash returns the file system after a power loss: the synced names with their synced
+// data, plus at most kept bytes of the data that was appended to each since (a torn write).
 func (f *FS) Crash(kept int) *FS {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -73,40 +72,40 @@
 func (f *FS) SetOpens(opens int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Opens = opens
+	f.FreeDescriptors = opens
 }
 
-// open takes one descriptor; the caller holds the lock.
-func (f *FS) open() error {
-	if f.Opens == 0 {
+// takeDescriptor uses up one descriptor; the caller holds the lock.
+func (f *FS) takeDescriptor() error {
+	if f.FreeDescriptors == 0 {
 		return syscall.EMFILE
 	}
-	f.Opens = max(f.Opens-1, -1)
+	f.FreeDescriptors = max(f.FreeDescriptors-1, -1)
 	return nil
 }
 
-// Damage flips a bit of a file.
-func (f *FS) Damage(path string, offset int) {
+// FlipBit flips one bit of the byte at an offset of a file.
+func (f *FS) FlipBit(path string, offset int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.names[path].data[offset] ^= 0x10
 }
 
-// Content gives what a file holds now.
+// Content returns the current content of a file, synced or not.
 func (f *FS) Content(path string) []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.names[path].data
 }
 
-// MakeFolder does nothing: every folder exists.
+// MakeFolder does nothing: every directory exists.
 func (f *FS) MakeFolder(string) error { return nil }
 
-// Create makes an empty file.
+// Create creates an empty file, replacing an existing one.
 func (f *FS) Create(path string) (disk.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.open(); err != nil {
+	if err := f.takeDescriptor(); err != nil {
 		return nil, err
 	}
 	f.names[path] = &content{}
@@ -121,22 +120,22 @@
 	if !ok {
 		return nil, fs.ErrNotExist
 	}
-	if err := f.open(); err != nil {
+	if err := f.takeDescriptor(); err != nil {
 		return nil, err
 	}
 	return &file{fs: f, content: c}, nil
 }
 
-// Names lists the files of a folder.
-func (f *FS) Names(folder string) ([]string, error) {
+// Names lists the names of the files in a directory in order.
+func (f *FS) Names(dir string) ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.open(); err != nil {
+	if err := f.takeDescriptor(); err != nil {
 		return nil, err
 	}
 	var names []string
 	for path := range f.names {
-		if filepath.Dir(path) == filepath.Clean(folder) {
+		if filepath.Dir(path) == filepath.Clean(dir) {
 			names = append(names, filepath.Base(path))
 		}
 	}
@@ -165,20 +164,20 @@
 	return nil
 }
 
-// SyncFolder makes the names of a folder last.
-func (f *FS) SyncFolder(folder string) error {
+// SyncDir makes the names in a directory durable.
+func (f *FS) SyncDir(dir string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if err := f.open(); err != nil {
+	if err := f.takeDescriptor(); err != nil {
 		return err
 	}
 	for path := range f.synced {
-		if filepath.Dir(path) == filepath.Clean(folder) {
+		if filepath.Dir(path) == filepath.Clean(dir) {
 			delete(f.synced, path)
 		}
 	}
 	for path, c := range f.names {
-		if filepath.Dir(path) == filepath.Clean(folder) {
+		if filepath.Dir(path) == filepath.Clean(dir) {
 			f.synced[path] = c
 		}
 	}
--- a/internal/state/disk/identity.go
+++ b/internal/state/disk/identity.go
@@ -9,41 +9,43 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// identityFile holds the identity of the replica that owns the data folder.
+// identityFile is the name of the file with the identity of the replica that owns the data
+// directory.
 const identityFile = "identity"
 
-// Identity gives the identity bound to a data folder, "<instance>.<ulid>", and
-// makes it with the folder. A wiped folder thus is a new replica: under its old
-// identity, its votes and entries forgotten, it could vote twice in one term
-// and let two leaders be elected.
+// Identity returns the identity of the replica in a data directory, "<instance>.<ulid>",
+// and creates it if there is none, from the ULID generated. A wiped directory thus becomes a new
+// replica: under its old identity, with its votes and entries lost, it could vote twice in
+// one term, so that two leaders could be elected.
 //
-// used tells whether the folder already holds a log or snapshots. Then a
-// missing identity is refused: the folder is damaged, not new.
-func Identity(files FS, folder, instance string, used bool, made ulid.ULID) (string, error) {
-	path := filepath.Join(folder, identityFile)
+// used says whether the directory already holds a log or snapshots. In that case a missing
+// identity is Corrupt: the directory is damaged, not new. A directory that belongs to
+// another instance is BadSettings.
+func Identity(files FS, dir, instance string, used bool, generated ulid.ULID) (string, error) {
+	path := filepath.Join(dir, identityFile)
 	content, found, err := ReadFile(files, path)
 	if err != nil {
 		return "", err
 	}
 	if !found && used {
-		return "", failure.New(failure.Corrupt, "%s is missing beside a log", path)
+		return "", failure.New(failure.Corrupt, "%s is missing although a log or snapshot exists", path)
 	}
 	if !found {
-		identity := instance + "." + made.String()
+		identity := instance + "." + generated.String()
 		return identity, Replace(files, path, []byte(identity+"\n"))
 	}
 	identity := strings.TrimSuffix(string(content), "\n")
 	owner, id, _ := cutLast(identity)
 	if _, err := ulid.ParseStrict(id); err != nil {
-		return "", failure.Wrap(failure.Corrupt, err, "%s holds no identity", path)
+		return "", failure.Wrap(failure.Corrupt, err, "%s holds no valid identity", path)
 	}
 	if owner != instance {
-		return "", failure.New(failure.BadSettings, "data folder %s belongs to instance %q", folder, owner)
+		return "", failure.New(failure.BadSettings, "data folder %s belongs to instance %q", dir, owner)
 	}
 	return identity, nil
 }
 
-// Instance gives the instance that an identity was made on.
+// Instance returns the name of the instance in an identity.
 func Instance(identity string) string {
 	instance, _, _ := cutLast(identity)
 	return instance
--- a/internal/state/disk/lock.go
+++ b/internal/state/disk/lock.go
@@ -10,27 +10,27 @@
 
 const lockFile = "lock"
 
-// Lock keeps a second process out of a data folder. The kernel lets it go when
-// the process ends, however it ends, so a kill leaves nothing to clean up.
+// Lock is the exclusive lock of a process on a data directory. The kernel releases it when
+// the process ends in any way, so a killed process leaves nothing to clean up.
 type Lock struct{ file *os.File }
 
-// TakeLock locks a data folder, or fails at once where another process has it:
-// two processes appending to one log would each overwrite what the other had
-// promised.
-func TakeLock(folder string) (*Lock, error) {
-	if err := os.MkdirAll(folder, folderAccess); err != nil {
-		return nil, Fault(err, "make %s", folder)
+// TakeLock locks a data directory, or fails immediately with FolderInUse if another process
+// holds the lock: two processes appending to one log would each overwrite entries that the
+// other had acknowledged.
+func TakeLock(dir string) (*Lock, error) {
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return nil, Fault(err, "create %s", dir)
 	}
-	file, err := os.OpenFile(filepath.Join(folder, lockFile), os.O_CREATE|os.O_RDWR, fileAccess)
+	file, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, Fault(err, "open the lock of %s", folder)
+		return nil, Fault(err, "open the lock file of %s", dir)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		file.Close()
-		return nil, failure.Wrap(failure.FolderInUse, err, "data folder %s", folder)
+		return nil, failure.Wrap(failure.FolderInUse, err, "data folder %s", dir)
 	}
 	return &Lock{file: file}, nil
 }
 
-// Release lets the data folder go.
+// Release releases the lock.
 func (l *Lock) Release() error { return l.file.Close() }
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -32,7 +32,7 @@
 	if err := files.MakeFolder(path); err != nil {
 		return nil, disk.Fault(err, "make %s", path)
 	}
-	if err := disk.RemoveAside(files, path); err != nil {
+	if err := disk.RemoveTemp(files, path); err != nil {
 		return nil, err
 	}
 	names, err := files.Names(path)
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -73,7 +73,7 @@
 			f := open(t, files)
 			is.NoErr(f.Save(made(10)))
 			is.NoErr(f.Save(made(20)))
-			files.Damage(path(20), 100)
+			files.FlipBit(path(20), 100)
 			mark := made(20).Meta
 			if c.unmarked {
 				mark = made(10).Meta
--- a/internal/state/snapshot/transfer.go
+++ b/internal/state/snapshot/transfer.go
@@ -151,7 +151,7 @@
 	if err := in.folder.files.Rename(path, in.folder.file(in.id, fileSuffix)); err != nil {
 		return err
 	}
-	return in.folder.files.SyncFolder(in.folder.path)
+	return in.folder.files.SyncDir(in.folder.path)
 }
 
 // Close leaves a transfer to be resumed.
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -51,7 +51,7 @@
 	if err := options.Files.MakeFolder(options.Folder); err != nil {
 		return nil, nil, disk.Fault(err, "make %s", options.Folder)
 	}
-	if err := disk.RemoveAside(options.Files, options.Folder); err != nil {
+	if err := disk.RemoveTemp(options.Files, options.Folder); err != nil {
 		return nil, nil, err
 	}
 	numbers, err := listSegments(options.Files, options.Folder)
@@ -253,7 +253,7 @@
 	if !l.dropped {
 		return nil
 	}
-	if err := l.options.Files.SyncFolder(l.options.Folder); err != nil {
+	if err := l.options.Files.SyncDir(l.options.Folder); err != nil {
 		fault := disk.Fault(err, "sync %s", l.options.Folder)
 		if disk.MayTryAgain(fault) {
 			return fault
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -96,7 +96,7 @@
 			for index := uint64(1); index <= 6; index++ {
 				is.NoErr(log.Append(nil, entries(1, index)))
 			}
-			files.Damage(segmentPath("1"), 60)
+			files.FlipBit(segmentPath("1"), 60)
 			_, _, err := wal.Open(wal.Options{Files: files, Folder: folder, SegmentBytes: segmentBytes})
 			is.True(failure.Is(err, failure.Corrupt))
 			is.True(strings.Contains(err.Error(), segmentPath("1")+" at offset 36"))
@@ -110,7 +110,7 @@
 func TestDamageToVotesIsRefused(t *testing.T) {
 	damages := map[string]func(*disktest.FS){
 		"last record of an older segment": func(files *disktest.FS) {
-			files.Damage(segmentPath("1"), len(files.Content(segmentPath("1")))-1)
+			files.FlipBit(segmentPath("1"), len(files.Content(segmentPath("1")))-1)
 		},
 		"segment lost": func(files *disktest.FS) { _ = files.Remove(segmentPath("2")) },
 	}
@@ -181,12 +181,12 @@
 			files := disktest.New()
 			log, _ := open(t, files, segment)
 			is.NoErr(log.Append(&consensuspb.HardState{Term: 1}, entries(1, 1)))
-			files.Opens = opens
+			files.FreeDescriptors = opens
 			refused := log.Append(nil, []*consensuspb.Entry{{Index: 2, Term: 1, Data: make([]byte, segment)}})
 			is.True(failure.Is(refused, failure.OutOfDescriptors))
 			newer := &consensuspb.HardState{Term: 2, Vote: "b.1"}
 			is.True(failure.Is(log.Append(newer, nil), failure.OutOfDescriptors))
-			files.Opens = -1
+			files.FreeDescriptors = -1
 			is.NoErr(log.Append(newer, nil))
 			is.NoErr(log.Append(nil, entries(1, 2)))
 			_, contents := open(t, files.Crash(0), segment)
@@ -205,9 +205,9 @@
 	for index := uint64(1); index <= 5; index++ {
 		is.NoErr(log.Append(nil, entries(1, index)))
 	}
-	files.Opens = 0
+	files.FreeDescriptors = 0
 	is.True(failure.Is(log.Compact(3), failure.OutOfDescriptors))
-	files.Opens = -1
+	files.FreeDescriptors = -1
 	is.NoErr(log.Compact(3))
 	is.NoErr(log.Append(nil, entries(1, 6)))
 }
