--- a/internal/state/wal/record.go
+++ b/internal/state/wal/record.go
@@ -11,49 +11,49 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// A record on the disk, little endian:
+// Format of a record on disk, little-endian:
 //
-//	mark       4 bytes  the same in every record
-//	size       4 bytes  of the body
-//	body sum   4 bytes  CRC-32C of the body
-//	head sum   4 bytes  CRC-32C of the twelve bytes before
-//	body       consensuspb.LogRecord
+//	magic            4 bytes  the same in every record
+//	body size        4 bytes  in bytes
+//	body checksum    4 bytes  CRC-32C of the body
+//	header checksum  4 bytes  CRC-32C of the preceding 12 bytes
+//	body             consensuspb.LogRecord
 //
-// The head has a sum of its own, so that a damaged size is told from a torn
-// write and a scan for later records cannot be led astray.
+// The header has its own checksum, so that a corrupted size can be distinguished from a
+// torn write and can't mislead a scan for later records.
 const (
-	headBytes = 16
-	// maxBody bounds what a damaged size could make a reader allocate.
-	maxBody = 64 << 20
+	headerBytes = 16
+	// maxBodyBytes limits what a corrupted size could make a reader allocate.
+	maxBodyBytes = 64 << 20
 )
 
 var (
-	recordMark = []byte{0xc7, 'p', 'w', 'r'}
-	castagnoli = crc32.MakeTable(crc32.Castagnoli)
-	encoding   = proto.MarshalOptions{Deterministic: true}
+	recordMagic = []byte{0xc7, 'p', 'w', 'r'}
+	castagnoli  = crc32.MakeTable(crc32.Castagnoli)
+	encoding    = proto.MarshalOptions{Deterministic: true}
 )
 
-// encodeRecord appends a record to buffer.
+// encodeRecord appends an encoded record to buffer.
 func encodeRecord(buffer []byte, record *consensuspb.LogRecord) ([]byte, error) {
 	start := len(buffer)
-	buffer = append(buffer, make([]byte, headBytes)...)
+	buffer = append(buffer, make([]byte, headerBytes)...)
 	buffer, err := encoding.MarshalAppend(buffer, record)
 	if err != nil {
 		return nil, failure.Wrap(failure.Internal, err, "encode a log record")
 	}
-	head, body := buffer[start:start+headBytes], buffer[start+headBytes:]
-	if len(body) > maxBody {
+	header, body := buffer[start:start+headerBytes], buffer[start+headerBytes:]
+	if len(body) > maxBodyBytes {
 		return nil, failure.New(failure.TooLarge, "log record of %d bytes", len(body))
 	}
-	copy(head, recordMark)
-	binary.LittleEndian.PutUint32(head[4:], uint32(len(body)))
-	binary.LittleEndian.PutUint32(head[8:], crc32.Checksum(body, castagnoli))
-	binary.LittleEndian.PutUint32(head[12:], crc32.Checksum(head[:12], castagnoli))
+	copy(header, recordMagic)
+	binary.LittleEndian.PutUint32(header[4:], uint32(len(body)))
+	binary.LittleEndian.PutUint32(header[8:], crc32.Checksum(body, castagnoli))
+	binary.LittleEndian.PutUint32(header[12:], crc32.Checksum(header[:12], castagnoli))
 	return buffer, nil
 }
 
-// decodeRecord reads the record at the start of content and gives its length.
-// ok is false where no whole, undamaged record stands there.
+// decodeRecord decodes the record at the start of content and returns its length in bytes.
+// ok is false if there is no complete, valid record.
 func decodeRecord(content []byte) (record *consensuspb.LogRecord, length int, ok bool) {
 	body, ok := recordBody(content)
 	if !ok {
@@ -63,31 +63,31 @@
 	if err := proto.Unmarshal(body, record); err != nil {
 		return nil, 0, false
 	}
-	return record, headBytes + len(body), true
+	return record, headerBytes + len(body), true
 }
 
 func recordBody(content []byte) ([]byte, bool) {
-	if len(content) < headBytes || !bytes.Equal(content[:4], recordMark) {
+	if len(content) < headerBytes || !bytes.Equal(content[:4], recordMagic) {
 		return nil, false
 	}
 	if crc32.Checksum(content[:12], castagnoli) != binary.LittleEndian.Uint32(content[12:]) {
 		return nil, false
 	}
 	size := int(binary.LittleEndian.Uint32(content[4:]))
-	if size > maxBody || size > len(content)-headBytes {
+	if size > maxBodyBytes || size > len(content)-headerBytes {
 		return nil, false
 	}
-	body := content[headBytes : headBytes+size]
+	body := content[headerBytes : headerBytes+size]
 	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(content[8:]) {
 		return nil, false
 	}
 	return body, true
 }
 
-// holdsRecord tells whether a whole record stands anywhere in content.
-func holdsRecord(content []byte) bool {
+// containsRecord reports whether content has a complete, valid record at any offset.
+func containsRecord(content []byte) bool {
 	for {
-		at := bytes.Index(content, recordMark)
+		at := bytes.Index(content, recordMagic)
 		if at < 0 {
 			return false
 		}
--- a/internal/state/wal/record_test.go
+++ b/internal/state/wal/record_test.go
@@ -10,11 +10,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Any bytes may stand in a segment after a crash or a bad disk: reading them
-// never panics, never gives a record that would encode to other bytes than it
-// was read from, and every refusal is typed.
+// A segment may contain arbitrary bytes after a crash or a disk fault. Reading it must not
+// panic, must not accept more bytes than there are, and must fail only with Corrupt.
 func FuzzReadSegment(f *testing.F) {
-	good, err := encodeRecord(segmentHead(1), &consensuspb.LogRecord{
+	good, err := encodeRecord(segmentHeader(1), &consensuspb.LogRecord{
 		Hard:    &consensuspb.HardState{Term: 3, Vote: "a.1"},
 		Entries: []*consensuspb.Entry{{Index: 1, Term: 3, Data: []byte("x")}},
 	})
@@ -23,11 +22,11 @@
 	}
 	f.Add(good, true)
 	f.Add(good[:len(good)-3], true)
-	f.Add(append(bytes.Clone(good), good[segmentHeadBytes:]...), false)
+	f.Add(append(bytes.Clone(good), good[segmentHeaderBytes:]...), false)
 	f.Fuzz(func(t *testing.T, content []byte, isLast bool) {
 		read := 0
 		length, err := readSegment("s", 1, content, isLast, func(record *consensuspb.LogRecord) error {
-			read += headBytes + proto.Size(record)
+			read += headerBytes + proto.Size(record)
 			return nil
 		})
 		if err != nil {
--- a/internal/state/wal/segment.go
+++ b/internal/state/wal/segment.go
@@ -15,29 +15,29 @@
 
 const (
 	segmentSuffix = ".wal"
-	// segmentHeadBytes is the length of the head: mark, version, number, sum.
-	segmentHeadBytes = 20
-	segmentVersion   = 1
+	// segmentHeaderBytes is the length of the header: magic, version, number, checksum.
+	segmentHeaderBytes = 20
+	segmentVersion     = 1
 )
 
-var segmentMark = []byte("pwlg")
+var segmentMagic = []byte("pwlg")
 
 // segment is one file of the log.
 type segment struct {
 	number uint64
 	path   string
-	// last is the highest index of any entry in it; 0 for none.
+	// last is the highest index of any entry in the segment, or 0 if it has none.
 	last uint64
 }
 
 func segmentName(number uint64) string { return fmt.Sprintf("%016x%s", number, segmentSuffix) }
 
-// listSegments gives the numbers of the segments in a folder; a missing one in
-// the middle is refused.
-func listSegments(files disk.FS, folder string) ([]uint64, error) {
-	names, err := files.Names(folder)
+// listSegments returns the numbers of the segments in a directory in ascending order. It
+// fails with Corrupt if one in the middle is missing.
+func listSegments(files disk.FS, dir string) ([]uint64, error) {
+	names, err := files.Names(dir)
 	if err != nil {
-		return nil, disk.Fault(err, "list %s", folder)
+		return nil, disk.Fault(err, "list %s", dir)
 	}
 	var numbers []uint64
 	for _, name := range names {
@@ -47,7 +47,7 @@
 		}
 		if n := len(numbers); n > 0 && number != numbers[n-1]+1 {
 			missing := segmentName(numbers[n-1] + 1)
-			return nil, failure.New(failure.Corrupt, "%s is missing", filepath.Join(folder, missing))
+			return nil, failure.New(failure.Corrupt, "%s is missing", filepath.Join(dir, missing))
 		}
 		numbers = append(numbers, number)
 	}
@@ -66,29 +66,29 @@
 	return binary.BigEndian.Uint64(raw), true
 }
 
-func segmentHead(number uint64) []byte {
-	head := make([]byte, 0, segmentHeadBytes)
-	head = append(head, segmentMark...)
-	head = binary.LittleEndian.AppendUint32(head, segmentVersion)
-	head = binary.LittleEndian.AppendUint64(head, number)
-	return binary.LittleEndian.AppendUint32(head, crc32.Checksum(head, castagnoli))
+func segmentHeader(number uint64) []byte {
+	header := make([]byte, 0, segmentHeaderBytes)
+	header = append(header, segmentMagic...)
+	header = binary.LittleEndian.AppendUint32(header, segmentVersion)
+	header = binary.LittleEndian.AppendUint64(header, number)
+	return binary.LittleEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
 }
 
-// readSegment decodes one segment's content and gives the length of its good
-// part. Only the last segment may end in a torn record.
-func readSegment(path string, number uint64, content []byte, isLast bool, take func(*consensuspb.LogRecord) error) (int64, error) {
-	// A segment gets its name only after its head was synced, so a head that
-	// does not read is damage and never a torn write.
-	if len(content) < segmentHeadBytes || string(content[:segmentHeadBytes]) != string(segmentHead(number)) {
-		return 0, corrupt(path, 0, "the head of the segment is damaged")
+// readSegment decodes the content of a segment, calls apply for each record, and returns
+// the length of the valid part in bytes. Only the last segment may end in a torn record.
+func readSegment(path string, number uint64, content []byte, isLast bool, apply func(*consensuspb.LogRecord) error) (int64, error) {
+	// A segment gets its name only after its header was synced, so an invalid header is
+	// corruption and never a torn write.
+	if len(content) < segmentHeaderBytes || string(content[:segmentHeaderBytes]) != string(segmentHeader(number)) {
+		return 0, corrupt(path, 0, "the segment header is corrupted")
 	}
-	offset := segmentHeadBytes
+	offset := segmentHeaderBytes
 	for offset < len(content) {
 		record, length, ok := decodeRecord(content[offset:])
 		if !ok {
-			return int64(offset), checkTorn(path, offset, content, isLast)
+			return int64(offset), checkTornTail(path, offset, content, isLast)
 		}
-		if err := take(record); err != nil {
+		if err := apply(record); err != nil {
 			return 0, failure.Wrap(failure.Corrupt, err, "%s at offset %d", path, offset)
 		}
 		offset += length
@@ -96,16 +96,16 @@
 	return int64(offset), nil
 }
 
-// checkTorn tells a torn tail, which is cut, from damage, which is refused.
-// One record is one write and one sync, and the next is written only after the
-// sync: a whole record behind the bad one proves that the bad one had been
-// synced, and perhaps answered.
-func checkTorn(path string, offset int, content []byte, isLast bool) error {
+// checkTornTail distinguishes a torn tail, which is truncated, from corruption, which is an
+// error. Each record is one write followed by one sync, and the next record is written only
+// after the sync. A valid record after the invalid one therefore proves that the invalid one
+// had been synced and perhaps acknowledged.
+func checkTornTail(path string, offset int, content []byte, isLast bool) error {
 	if !isLast {
-		return corrupt(path, offset, "a record is damaged and later segments exist")
+		return corrupt(path, offset, "a record is corrupted and later segments exist")
 	}
-	if holdsRecord(content[offset+1:]) {
-		return corrupt(path, offset, "a record is damaged and later ones are whole")
+	if containsRecord(content[offset+1:]) {
+		return corrupt(path, offset, "a record is corrupted and later records are valid")
 	}
 	return nil
 }
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -1,9 +1,10 @@
-// Package wal keeps a replica's part of the replicated log on disk: segments of
-// records, each with a checksum and synced before the append returns.
+// Package wal is the write-ahead log of a replica: it stores the replica's copy of the
+// replicated log on disk, in segments of records. Each record has a checksum and is synced
+// before the append returns.
 //
-// Bounds of what it can tell: a torn write is told from damage by the whole
-// records behind it (see checkTorn). Damage to the very last synced record
-// looks like a torn write and is cut; the other replicas still hold it.
+// Limitation: a torn write is distinguished from corruption by valid records after it (see
+// checkTornTail). Corruption of the very last synced record looks like a torn write and is
+// truncated; the other replicas still have the record.
 package wal
 
 import (
@@ -13,43 +14,46 @@
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
 
-// DefaultSegmentBytes is the size from which on a segment is followed by a new one.
+// DefaultSegmentBytes is the default size, in bytes, beyond which a segment doesn't grow:
+// the next record starts a new one.
 const DefaultSegmentBytes = 16 << 20
 
 // Options of a log.
 type Options struct {
 	Files  disk.FS
 	Folder string
-	// SegmentBytes is DefaultSegmentBytes where 0.
+	// SegmentBytes is the size limit of a segment; 0 means DefaultSegmentBytes.
 	SegmentBytes int64
 }
 
-// Log is an open log. One goroutine uses it.
+// Log is an open log. It is not safe for concurrent use.
 type Log struct {
 	options  Options
 	segments []segment
 	active   disk.File
-	// synced is the length of the active segment that lasts.
+	// synced is the durable length of the active segment in bytes.
 	synced int64
-	// rotating is set while the next segment is not begun. Until it is, nothing is
-	// written: its file may be there already, with the hard state of before.
+	// rotating is set while the start of the next segment is outstanding. Nothing is
+	// written until it succeeds: the file of the next segment may exist already and hold
+	// the earlier hard state, which must not follow a newer one.
 	rotating bool
-	// dropped tells that segments were removed and their folder not synced since.
-	dropped bool
-	hard    *consensuspb.HardState
-	mark    *consensuspb.SnapshotMeta
-	failed  error
+	// removalsUnsynced is set while segments were removed and the directory was not synced
+	// since.
+	removalsUnsynced bool
+	hard             *consensuspb.HardState
+	snapshot         *consensuspb.SnapshotMeta
+	failed           error
 }
 
-// Open reads the log in a folder, makes one where there is none, and cuts a
-// torn tail: an append that was never synced was never answered.
+// Open reads the log in a directory, creates one if there is none, and truncates a torn
+// tail: an append that was not synced was never acknowledged.
 func Open(options Options) (*Log, *Contents, error) {
 	if options.SegmentBytes == 0 {
 		options.SegmentBytes = DefaultSegmentBytes
 	}
 	l := &Log{options: options}
 	if err := options.Files.MakeFolder(options.Folder); err != nil {
-		return nil, nil, disk.Fault(err, "make %s", options.Folder)
+		return nil, nil, disk.Fault(err, "create %s", options.Folder)
 	}
 	if err := disk.RemoveTemp(options.Files, options.Folder); err != nil {
 		return nil, nil, err
@@ -65,11 +69,11 @@
 			return nil, nil, err
 		}
 	}
-	if err := contents.check(options.Folder); err != nil {
+	if err := contents.checkReachesSnapshot(options.Folder); err != nil {
 		l.Close()
 		return nil, nil, err
 	}
-	l.hard, l.mark = contents.Hard, contents.Snapshot
+	l.hard, l.snapshot = contents.Hard, contents.Snapshot
 	if len(numbers) == 0 {
 		if err := l.startSegment(1); err != nil {
 			return nil, nil, err
@@ -93,11 +97,11 @@
 	if err != nil {
 		return disk.Fault(err, "read %s", s.path)
 	}
-	take := func(record *consensuspb.LogRecord) error {
+	apply := func(record *consensuspb.LogRecord) error {
 		s.last = max(s.last, lastIndex(record))
-		return contents.take(record)
+		return contents.apply(record)
 	}
-	good, err := readSegment(s.path, number, data, isLast, take)
+	valid, err := readSegment(s.path, number, data, isLast, apply)
 	if err != nil {
 		return err
 	}
@@ -105,42 +109,43 @@
 	if !isLast {
 		return nil
 	}
-	return l.settleTail(file, good, int64(len(data)))
+	return l.recoverTail(file, valid, int64(len(data)))
 }
 
-// settleTail cuts a torn tail and syncs what is left: a process that was killed
-// between write and sync leaves records that read well and do not last yet.
-func (l *Log) settleTail(file disk.File, good, size int64) error {
-	if good < size {
-		if err := file.Truncate(good); err != nil {
-			return disk.Fault(err, "cut the log's tail")
+// recoverTail truncates a torn tail and syncs the rest: a process that was killed between
+// write and sync leaves records that are readable but not durable.
+func (l *Log) recoverTail(file disk.File, valid, size int64) error {
+	if valid < size {
+		if err := file.Truncate(valid); err != nil {
+			return disk.Fault(err, "truncate the log's tail")
 		}
 	}
 	if err := file.Sync(); err != nil {
 		return disk.Fault(err, "sync the log's tail")
 	}
-	l.synced = good
+	l.synced = valid
 	return nil
 }
 
-// Append writes a hard state (nil: unchanged) and entries with one write and
-// one sync. Entries whose indexes the log already has replace its tail.
+// Append writes a hard state (nil if unchanged) and entries with one write and one sync.
+// Entries at indexes that the log already has replace its tail.
 //
-// On a full disk it fails with DiskFull, and without a descriptor for the next segment
-// with OutOfDescriptors: it has written nothing, and the same append may be tried again. Once a sync, or a write for another reason, has failed, the
-// log refuses everything with DiskFailed: the kernel may have dropped the bytes
-// and would call the next sync a success all the same.
+// It fails with DiskFull if the disk is full, and with OutOfDescriptors if no descriptor is
+// available for the next segment. In both cases nothing was written and the append may be
+// retried. After a failed sync, or a write that failed for another reason, every call fails
+// with DiskFailed: the kernel may have dropped the data and could still report the next
+// sync as successful.
 func (l *Log) Append(hard *consensuspb.HardState, entries []*consensuspb.Entry) error {
 	return l.write(&consensuspb.LogRecord{Hard: hard, Entries: entries})
 }
 
-// Mark notes a durable snapshot. A log without that entry, or with another one
-// there, is emptied: the snapshot came from the leader and replaces it. An older
-// mark is passed over: a save that ends after a newer snapshot was installed
-// would set the mark before the log's first entry, and the next start would
-// refuse the log as having a gap.
+// Mark records that a snapshot is durable. If the log has no entry at its index, or one of
+// another term, the log is emptied: the snapshot came from the leader and replaces it. A
+// marker older than the current one is ignored: a save that finishes after a newer snapshot
+// was installed would otherwise put the marker before the first entry of the log, and the
+// next start would fail because of the gap.
 func (l *Log) Mark(meta *consensuspb.SnapshotMeta) error {
-	if meta.Index < l.mark.GetIndex() {
+	if meta.Index < l.snapshot.GetIndex() {
 		return nil
 	}
 	return l.write(&consensuspb.LogRecord{Snapshot: meta})
@@ -154,62 +159,61 @@
 	if err != nil {
 		return err
 	}
-	if l.synced > segmentHeadBytes && l.synced+int64(len(encoded)) > l.options.SegmentBytes {
+	if l.synced > segmentHeaderBytes && l.synced+int64(len(encoded)) > l.options.SegmentBytes {
 		l.rotating = true
 	}
 	if l.rotating {
 		if err := l.rotate(); err != nil {
-			return l.refuse(err)
+			return l.abortWrite(err)
 		}
 		l.rotating = false
 	}
 	if _, err := l.active.Write(encoded); err != nil {
-		return l.refuse(err)
+		return l.abortWrite(err)
 	}
 	if err := l.active.Sync(); err != nil {
 		return l.fail(err)
 	}
 	l.synced += int64(len(encoded))
-	l.note(record)
+	l.recordWritten(record)
 	return nil
 }
 
-// refuse ends a write before its sync. Where it may be tried again the part of the
-// record that was written is cut off: nothing of it was synced, so that nothing lasts
-// that the next append could meet.
-func (l *Log) refuse(err error) error {
-	refused := disk.Fault(err, "write the log in %s", l.options.Folder)
-	if !disk.MayTryAgain(refused) {
+// abortWrite handles a write that failed before its sync. If it may be retried, the part of
+// the record that was written is truncated; none of it was synced, so the next append starts
+// from a clean tail.
+func (l *Log) abortWrite(err error) error {
+	fault := disk.Fault(err, "write the log in %s", l.options.Folder)
+	if !disk.MayTryAgain(fault) {
 		return l.fail(err)
 	}
 	if err := l.active.Truncate(l.synced); err != nil {
 		return l.fail(err)
 	}
-	return refused
+	return fault
 }
 
-func (l *Log) note(record *consensuspb.LogRecord) {
+func (l *Log) recordWritten(record *consensuspb.LogRecord) {
 	if record.Hard != nil {
 		l.hard = record.Hard
 	}
 	if record.Snapshot != nil {
-		l.mark = record.Snapshot
+		l.snapshot = record.Snapshot
 	}
 	newest := &l.segments[len(l.segments)-1]
 	newest.last = max(newest.last, lastIndex(record))
 }
 
-// fail stops the log for good. The bytes that were not synced are cut off, so
-// that a restart does not read them from the kernel's cache as if they lasted.
+// fail disables the log permanently. The bytes that were not synced are truncated, so that
+// a restart doesn't read them from the kernel's page cache as if they were durable.
 func (l *Log) fail(err error) error {
 	l.failed = disk.Fault(err, "write the log in %s", l.options.Folder)
 	_ = l.active.Truncate(l.synced)
 	return l.failed
 }
 
-// rotate starts the next segment. It repeats the hard state and the snapshot
-// mark, so that the older segments can go without loss. Where it fails, the
-// segment before it is still the active one.
+// rotate starts the next segment, which repeats the hard state and the snapshot marker so
+// that the older segments can be removed. If it fails, the previous segment remains active.
 func (l *Log) rotate() error {
 	before := l.active
 	if err := l.startSegment(l.segments[len(l.segments)-1].number + 1); err != nil {
@@ -219,12 +223,12 @@
 }
 
 func (l *Log) startSegment(number uint64) error {
-	head, err := encodeRecord(segmentHead(number), &consensuspb.LogRecord{Hard: l.hard, Snapshot: l.mark})
+	header, err := encodeRecord(segmentHeader(number), &consensuspb.LogRecord{Hard: l.hard, Snapshot: l.snapshot})
 	if err != nil {
 		return err
 	}
 	path := filepath.Join(l.options.Folder, segmentName(number))
-	if err := disk.Replace(l.options.Files, path, head); err != nil {
+	if err := disk.Replace(l.options.Files, path, header); err != nil {
 		return err
 	}
 	started, err := l.options.Files.Open(path)
@@ -232,13 +236,13 @@
 		return disk.Fault(err, "open %s", path)
 	}
 	l.active = started
-	l.synced = int64(len(head))
+	l.synced = int64(len(header))
 	l.segments = append(l.segments, segment{number: number, path: path})
 	return nil
 }
 
-// Compact drops the whole segments that hold nothing above an index. Oldest
-// first, so that a crash in between leaves no gap.
+// Compact removes the segments without entries above an index, except the active one. They
+// are removed oldest first, so that a crash in between leaves no gap.
 func (l *Log) Compact(index uint64) error {
 	if l.failed != nil {
 		return l.failed
@@ -248,9 +252,9 @@
 			return l.fail(err)
 		}
 		l.segments = l.segments[1:]
-		l.dropped = true
+		l.removalsUnsynced = true
 	}
-	if !l.dropped {
+	if !l.removalsUnsynced {
 		return nil
 	}
 	if err := l.options.Files.SyncDir(l.options.Folder); err != nil {
@@ -260,7 +264,7 @@
 		}
 		return l.fail(err)
 	}
-	l.dropped = false
+	l.removalsUnsynced = false
 	return nil
 }
 
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -15,55 +15,55 @@
 	"pinewinch.example/pinewinch/internal/state/wal"
 )
 
-const folder = "/log"
+const dir = "/log"
 
 func open(t is.T, files *disktest.FS, segmentBytes int64) (*wal.Log, *wal.Contents) {
-	log, contents, err := wal.Open(wal.Options{Files: files, Folder: folder, SegmentBytes: segmentBytes})
+	log, contents, err := wal.Open(wal.Options{Files: files, Folder: dir, SegmentBytes: segmentBytes})
 	is.New(t).NoErr(err)
 	return log, contents
 }
 
 func entries(term uint64, indexes ...uint64) []*consensuspb.Entry {
-	var made []*consensuspb.Entry
+	var created []*consensuspb.Entry
 	for _, index := range indexes {
-		made = append(made, &consensuspb.Entry{Index: index, Term: term, Data: []byte("some data of an entry")})
+		created = append(created, &consensuspb.Entry{Index: index, Term: term, Data: []byte("some data of an entry")})
 	}
-	return made
+	return created
 }
 
 func segmentPath(number string) string {
-	return filepath.Join(folder, strings.Repeat("0", 16-len(number))+number+".wal")
+	return filepath.Join(dir, strings.Repeat("0", 16-len(number))+number+".wal")
 }
 
-// The power fails in the middle of a write. Whatever part of it reached the
-// disk, what had been synced before is there at the next start and the torn
-// part is not; a log that kept half a record would refuse to open for ever.
+// Power is lost during a write. Whatever part of it reached the disk, the next start finds
+// all records synced before and not the torn one; a log that kept a partial record could
+// never be opened again.
 func TestTornTailIsCut(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	log, _ := open(t, files, 0)
 	is.NoErr(log.Append(&consensuspb.HardState{Term: 1, Vote: "a.1"}, entries(1, 1, 2)))
-	whole := len(files.Content(segmentPath("1")))
+	validBytes := len(files.Content(segmentPath("1")))
 	next := sampleRecord(t)
 	for kept := range next {
 		torn := files.Crash(0)
-		cut, _ := torn.Open(segmentPath("1"))
-		_, err := cut.Write(next[:kept])
+		segment, _ := torn.Open(segmentPath("1"))
+		_, err := segment.Write(next[:kept])
 		is.NoErr(err)
 		reopened, contents := open(t, torn, 0)
 		is.Equal(len(contents.Entries), 2)
 		is.Equal(contents.Hard.Vote, "a.1")
-		is.Equal(len(torn.Content(segmentPath("1"))), whole)
+		is.Equal(len(torn.Content(segmentPath("1"))), validBytes)
 		is.NoErr(reopened.Append(nil, entries(1, 3)))
 		_, contents = open(t, torn, 0)
 		is.Equal(len(contents.Entries), 3)
 	}
 }
 
-// A replica saves its own snapshot at 50 while it fetches one at 100 from the
-// leader. The fetched one is installed first, and the mark of the older save
-// comes after it. The log must open again with what was appended since.
-func TestAnOlderMarkIsPassedOver(t *testing.T) {
+// A replica saves its own snapshot (here at index 2) while it fetches a newer one (here at
+// index 100) from the leader. The fetched snapshot is installed first, and the marker of the
+// older one follows. The log must open again with the entries appended since.
+func TestOlderSnapshotMarkIsIgnored(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	log, _ := open(t, files, 0)
@@ -84,9 +84,9 @@
 	return files.Content(segmentPath("1"))[before:]
 }
 
-// A bit flips in a record that was synced and answered long ago. Cutting the
-// log there would silently drop everything behind it; the caller must see a
-// typed failure that names file and offset.
+// A bit flips in a record that was synced and acknowledged long ago. Truncating the log
+// there would silently drop all later records; Open must fail with Corrupt and name the file
+// and offset.
 func TestDamageInTheMiddleIsRefused(t *testing.T) {
 	for name, segmentBytes := range map[string]int64{"one segment": 0, "older segment": 150} {
 		t.Run(name, func(t *testing.T) {
@@ -97,16 +97,16 @@
 				is.NoErr(log.Append(nil, entries(1, index)))
 			}
 			files.FlipBit(segmentPath("1"), 60)
-			_, _, err := wal.Open(wal.Options{Files: files, Folder: folder, SegmentBytes: segmentBytes})
+			_, _, err := wal.Open(wal.Options{Files: files, Folder: dir, SegmentBytes: segmentBytes})
 			is.True(failure.Is(err, failure.Corrupt))
 			is.True(strings.Contains(err.Error(), segmentPath("1")+" at offset 36"))
 		})
 	}
 }
 
-// Votes are records without entries. Damage to the last one of an older
-// segment, or the loss of a segment that holds only votes, leaves no gap in the
-// entries: without a refusal, the replica could vote twice in one term.
+// Votes are records without entries. Corruption of the last one of an older segment, or the
+// loss of a segment with only votes, leaves no gap in the entries, but must be detected, or
+// the replica could vote twice in one term.
 func TestDamageToVotesIsRefused(t *testing.T) {
 	damages := map[string]func(*disktest.FS){
 		"last record of an older segment": func(files *disktest.FS) {
@@ -123,15 +123,15 @@
 				is.NoErr(log.Append(&consensuspb.HardState{Term: term, Vote: "a.1"}, nil))
 			}
 			damage(files)
-			_, _, err := wal.Open(wal.Options{Files: files, Folder: folder})
+			_, _, err := wal.Open(wal.Options{Files: files, Folder: dir})
 			is.True(failure.Is(err, failure.Corrupt))
 		})
 	}
 }
 
-// A sync fails and a later one would succeed, although the kernel has dropped
-// the bytes. A log that tried again would answer for entries that are gone; this
-// one refuses all appends from then on, and a restart finds what was synced.
+// A sync fails and a later one would succeed although the kernel has dropped the data. A
+// retry would acknowledge entries that are lost, so the log must refuse all further appends,
+// and a restart must find only what was synced.
 func TestFailedSyncStopsTheLog(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
@@ -140,14 +140,14 @@
 	files.FailSyncs = 1
 	is.True(failure.Is(log.Append(nil, entries(1, 2)), failure.DiskFailed))
 	is.True(failure.Is(log.Append(nil, entries(1, 2)), failure.DiskFailed))
-	// The process starts again on the same kernel and its cache.
+	// The process restarts on the same kernel, with its page cache.
 	_, contents := open(t, files, 0)
 	is.Equal(len(contents.Entries), 1)
 }
 
-// A disk fills up in the middle of a record and has room again later. The part
-// that was written must not stay: a restart finds only what was answered for,
-// and the same append works once there is room, without a restart.
+// The disk fills up in the middle of a record and has free space again later. The partial
+// record must be removed: a restart finds only acknowledged entries, and the same append
+// succeeds without a restart once there is space.
 func TestFullDiskRefusesUntilThereIsRoom(t *testing.T) {
 	for name, segment := range map[string]int64{"in a segment": 0, "at a new segment": 40} {
 		t.Run(name, func(t *testing.T) {
@@ -170,12 +170,13 @@
 	}
 }
 
-// A log that took a process without descriptors for a failed disk, or that went on in
-// the segment before a new one which it could not open: an older hard state would follow
-// a newer one, and the replica could vote twice in one term.
+// The process has no free descriptor when the log starts a new segment. The log must not take
+// that for a failed disk, and must not continue in the previous segment: the new segment's
+// file may already hold the older hard state, which would then follow a newer one, and the
+// replica could vote twice in one term.
 func TestMissingDescriptorRefusesUntilThereIsOne(t *testing.T) {
 	const segment = 200
-	for opens := range 3 { // the new segment, its folder, the new segment again
+	for opens := range 3 { // the new segment, its directory, the new segment again
 		t.Run(fmt.Sprint("after opening ", opens), func(t *testing.T) {
 			is := is.New(t)
 			files := disktest.New()
@@ -196,9 +197,9 @@
 	}
 }
 
-// Segments that were dropped, and a folder that could not be synced for want of a
-// descriptor: the log must not refuse everything from then on.
-func TestCompactGoesOnWithoutADescriptor(t *testing.T) {
+// Segments were removed, but the directory could not be synced because no descriptor was
+// free. The log must not refuse everything from then on.
+func TestCompactCanBeRetriedAfterOutOfDescriptors(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	log, _ := open(t, files, 40)
@@ -212,8 +213,8 @@
 	is.NoErr(log.Append(nil, entries(1, 6)))
 }
 
-// Segments below a snapshot go, oldest first; the hard state that they held
-// must not go with them, or a replica could vote twice in one term.
+// Compaction removes segments below a snapshot. The hard state in them must be preserved, or
+// the replica could vote twice in one term.
 func TestCompactKeepsHardStateAndTail(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
@@ -224,7 +225,7 @@
 	}
 	is.NoErr(log.Mark(&consensuspb.SnapshotMeta{Index: 20, Term: 7}))
 	is.NoErr(log.Compact(20))
-	names, _ := files.Names(folder)
+	names, _ := files.Names(dir)
 	is.True(len(names) < 8)
 	_, contents := open(t, files.Crash(0), 200)
 	is.Equal(contents.Hard.Vote, "b.2")
@@ -233,16 +234,16 @@
 	is.Equal(contents.Entries[len(contents.Entries)-1].Index, uint64(30))
 }
 
-// model is what the log must give back: what was appended with success.
+// model is the expected content of the log: everything that was appended successfully.
 type model struct {
-	hard    *consensuspb.HardState
-	entries []*consensuspb.Entry
-	mark    *consensuspb.SnapshotMeta
+	hard         *consensuspb.HardState
+	entries      []*consensuspb.Entry
+	snapshotMeta *consensuspb.SnapshotMeta
 }
 
-// Appends, replaced tails, snapshots from here and from the leader, crashes with
-// any part of an unsynced write kept, full disks and failed syncs, in any
-// order: the log gives back exactly what it had acknowledged.
+// Appends, replaced tails, local and installed snapshots, crashes that keep any part of an
+// unsynced write, full disks and failed syncs happen in random order. A reopened log must
+// contain exactly what was acknowledged.
 func TestLogAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		files := disktest.New()
@@ -250,7 +251,7 @@
 		m := &model{}
 		term := uint64(1)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			last := m.mark.GetIndex()
+			last := m.snapshotMeta.GetIndex()
 			if len(m.entries) > 0 {
 				last = m.entries[len(m.entries)-1].Index
 			}
@@ -259,7 +260,7 @@
 				m.append(t, log, last+1, term)
 			case "replace":
 				term++
-				m.append(t, log, rapid.Uint64Range(m.mark.GetIndex()+1, last+1).Draw(t, "from"), term)
+				m.append(t, log, rapid.Uint64Range(m.snapshotMeta.GetIndex()+1, last+1).Draw(t, "from"), term)
 			case "snapshot":
 				if len(m.entries) > 0 {
 					at := rapid.SampledFrom(m.entries).Draw(t, "at")
@@ -294,20 +295,20 @@
 	for i := range rapid.Uint64Range(1, 4).Draw(t, "count") {
 		indexes = append(indexes, from+i)
 	}
-	made := entries(term, indexes...)
+	appended := entries(term, indexes...)
 	m.hard = &consensuspb.HardState{Term: term, Commit: from}
-	if err := log.Append(m.hard, made); err != nil {
+	if err := log.Append(m.hard, appended); err != nil {
 		t.Fatal(err)
 	}
 	if len(m.entries) > 0 {
 		m.entries = m.entries[:from-m.entries[0].Index]
 	}
-	m.entries = append(m.entries, made...)
+	m.entries = append(m.entries, appended...)
 }
 
 func (m *model) snapshot(t *rapid.T, log *wal.Log, index, term uint64) {
-	m.mark = &consensuspb.SnapshotMeta{Index: index, Term: term}
-	if err := log.Mark(m.mark); err != nil {
+	m.snapshotMeta = &consensuspb.SnapshotMeta{Index: index, Term: term}
+	if err := log.Mark(m.snapshotMeta); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.Compact(index); err != nil {
@@ -322,9 +323,9 @@
 	is := is.New(t)
 	log, contents := open(t, files, 400)
 	is.Equal(contents.Hard.GetTerm(), m.hard.GetTerm())
-	is.Equal(contents.Snapshot.GetIndex(), m.mark.GetIndex())
+	is.Equal(contents.Snapshot.GetIndex(), m.snapshotMeta.GetIndex())
 	kept := contents.Entries
-	for len(kept) > 0 && kept[0].Index <= m.mark.GetIndex() {
+	for len(kept) > 0 && kept[0].Index <= m.snapshotMeta.GetIndex() {
 		kept = kept[1:]
 	}
 	is.Equal(len(kept), len(m.entries))
