--- a/internal/state/snapshot/file.go
+++ b/internal/state/snapshot/file.go
@@ -14,18 +14,18 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// A snapshot file, little endian:
+// Format of a snapshot file, little-endian:
 //
-//	mark       4 bytes
-//	version    4 bytes
-//	meta size  4 bytes
-//	data size  8 bytes
-//	sum        8 bytes  xxHash of meta and data
-//	head sum   4 bytes  CRC-32C of the bytes before
-//	meta       consensuspb.SnapshotMeta
-//	data       the state machine's own encoding
+//	magic            4 bytes
+//	version          4 bytes
+//	meta size        4 bytes  in bytes
+//	data size        8 bytes  in bytes
+//	checksum         8 bytes  xxHash64 of meta and data
+//	header checksum  4 bytes  CRC-32C of the preceding bytes
+//	meta             consensuspb.SnapshotMeta
+//	data             encoding of the state machine
 const (
-	headBytes     = 32
+	headerBytes   = 32
 	fileVersion   = 1
 	fileSuffix    = ".snap"
 	partialSuffix = ".partial"
@@ -33,17 +33,17 @@
 )
 
 var (
-	fileMark   = []byte("pwsn")
+	fileMagic  = []byte("pwsn")
 	castagnoli = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Snapshot is the state machine up to the meta's index.
+// Snapshot is the encoded state machine after the log entry at Meta.Index.
 type Snapshot struct {
 	Meta *consensuspb.SnapshotMeta
 	Data []byte
 }
 
-// ID names one snapshot file.
+// ID identifies a snapshot file.
 type ID struct {
 	Index uint64
 	Term  uint64
@@ -65,43 +65,43 @@
 	return ID{Index: binary.BigEndian.Uint64(raw), Term: binary.BigEndian.Uint64(raw[8:])}, true
 }
 
-func encodeHead(meta, data []byte) []byte {
+func encodeHeader(meta, data []byte) []byte {
 	sum := xxhash.New()
 	_, _ = sum.Write(meta)
 	_, _ = sum.Write(data)
-	head := make([]byte, 0, headBytes)
-	head = append(head, fileMark...)
-	head = binary.LittleEndian.AppendUint32(head, fileVersion)
-	head = binary.LittleEndian.AppendUint32(head, uint32(len(meta)))
-	head = binary.LittleEndian.AppendUint64(head, uint64(len(data)))
-	head = binary.LittleEndian.AppendUint64(head, sum.Sum64())
-	return binary.LittleEndian.AppendUint32(head, crc32.Checksum(head, castagnoli))
+	header := make([]byte, 0, headerBytes)
+	header = append(header, fileMagic...)
+	header = binary.LittleEndian.AppendUint32(header, fileVersion)
+	header = binary.LittleEndian.AppendUint32(header, uint32(len(meta)))
+	header = binary.LittleEndian.AppendUint64(header, uint64(len(data)))
+	header = binary.LittleEndian.AppendUint64(header, sum.Sum64())
+	return binary.LittleEndian.AppendUint32(header, crc32.Checksum(header, castagnoli))
 }
 
-// decode checks a file's content; name is for the failure.
+// decode checks and decodes the content of a file; name is used in errors.
 func decode(name string, content []byte) (*Snapshot, error) {
-	if len(content) < headBytes || string(content[:4]) != string(fileMark) {
-		return nil, failure.New(failure.Corrupt, "%s is no snapshot", name)
+	if len(content) < headerBytes || string(content[:4]) != string(fileMagic) {
+		return nil, failure.New(failure.Corrupt, "%s is not a snapshot file", name)
 	}
-	head := content[:headBytes]
-	if crc32.Checksum(head[:headBytes-4], castagnoli) != binary.LittleEndian.Uint32(head[headBytes-4:]) {
-		return nil, failure.New(failure.Corrupt, "%s: the head is damaged", name)
+	header := content[:headerBytes]
+	if crc32.Checksum(header[:headerBytes-4], castagnoli) != binary.LittleEndian.Uint32(header[headerBytes-4:]) {
+		return nil, failure.New(failure.Corrupt, "%s: the header is corrupted", name)
 	}
-	if version := binary.LittleEndian.Uint32(head[4:]); version != fileVersion {
-		return nil, failure.New(failure.Corrupt, "%s has version %d and this process reads %d", name, version, fileVersion)
+	if version := binary.LittleEndian.Uint32(header[4:]); version != fileVersion {
+		return nil, failure.New(failure.Corrupt, "%s has format version %d, this process reads version %d", name, version, fileVersion)
 	}
-	metaSize := uint64(binary.LittleEndian.Uint32(head[8:]))
-	dataSize := binary.LittleEndian.Uint64(head[12:])
-	body := content[headBytes:]
+	metaSize := uint64(binary.LittleEndian.Uint32(header[8:]))
+	dataSize := binary.LittleEndian.Uint64(header[12:])
+	body := content[headerBytes:]
 	if uint64(len(body)) < metaSize || uint64(len(body))-metaSize != dataSize {
-		return nil, failure.New(failure.Corrupt, "%s has %d bytes and should have %d", name, len(body), metaSize+dataSize)
+		return nil, failure.New(failure.Corrupt, "%s has %d bytes after its header, expected %d", name, len(body), metaSize+dataSize)
 	}
-	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(head[20:]) {
-		return nil, failure.New(failure.Corrupt, "%s: checksum differs", name)
+	if xxhash.Sum64(body) != binary.LittleEndian.Uint64(header[20:]) {
+		return nil, failure.New(failure.Corrupt, "%s: checksum mismatch", name)
 	}
 	meta := &consensuspb.SnapshotMeta{}
 	if err := proto.Unmarshal(body[:metaSize], meta); err != nil {
-		return nil, failure.Wrap(failure.Corrupt, err, "%s: meta does not decode", name)
+		return nil, failure.Wrap(failure.Corrupt, err, "%s: cannot decode the metadata", name)
 	}
 	return &Snapshot{Meta: meta, Data: body[metaSize:]}, nil
 }
--- a/internal/state/snapshot/file_test.go
+++ b/internal/state/snapshot/file_test.go
@@ -6,11 +6,11 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Any bytes may come from a damaged disk or another replica: decoding never
-// panics, every refusal is typed, and what is accepted is a whole file.
+// A corrupted disk or another replica may supply arbitrary bytes. Decoding must not panic,
+// must fail only with Corrupt, and must not return more data than the file has.
 func FuzzDecode(f *testing.F) {
 	meta, data := []byte{8, 5, 16, 3}, []byte("state")
-	whole := append(append(encodeHead(meta, data), meta...), data...)
+	whole := append(append(encodeHeader(meta, data), meta...), data...)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
 	f.Fuzz(func(t *testing.T, content []byte) {
@@ -21,7 +21,7 @@
 			}
 			return
 		}
-		if len(s.Data) > len(content)-headBytes {
+		if len(s.Data) > len(content)-headerBytes {
 			t.Fatal("more data than content")
 		}
 	})
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot keeps the newest two snapshots of the state machine on disk.
-// A snapshot is written aside, synced, renamed and its folder synced; the older
-// one stays for the case that the newer is damaged.
+// Package snapshot stores the two newest snapshots of the state machine on disk. A
+// snapshot is written to a temporary file, which is synced and renamed, and then the
+// directory is synced. The older snapshot is the fallback if the newer one is corrupted.
 package snapshot
 
 import (
@@ -15,22 +15,22 @@
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
 
-// kept is how many snapshots stay on disk.
-const kept = 2
+// retained is the number of snapshots kept on disk.
+const retained = 2
 
-// Folder is the folder of snapshots. Several goroutines may use it.
+// Folder is a directory of snapshots. It is safe for concurrent use.
 type Folder struct {
 	files disk.FS
 	path  string
 	mu    sync.Mutex
-	// ids are those on disk, oldest first.
+	// ids are the snapshots on disk, oldest first.
 	ids []ID
 }
 
-// Open lists the snapshots of a folder and makes it where there is none.
+// Open lists the snapshots in a directory and creates the directory if it doesn't exist.
 func Open(files disk.FS, path string) (*Folder, error) {
 	if err := files.MakeFolder(path); err != nil {
-		return nil, disk.Fault(err, "make %s", path)
+		return nil, disk.Fault(err, "create %s", path)
 	}
 	if err := disk.RemoveTemp(files, path); err != nil {
 		return nil, err
@@ -45,18 +45,18 @@
 			f.ids = append(f.ids, id)
 		}
 	}
-	// A crash can bring back the name of one that was removed.
+	// After a crash, a removed snapshot can be back if the directory was not synced.
 	return f, f.prune()
 }
 
-// Empty tells whether there is no snapshot.
+// Empty reports whether there is no snapshot.
 func (f *Folder) Empty() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ids) == 0
 }
 
-// Newest names the newest snapshot.
+// Newest returns the id of the newest snapshot; false if there is none.
 func (f *Folder) Newest() (ID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,31 +66,31 @@
 	return f.ids[len(f.ids)-1], true
 }
 
-// Oldest is the index up to which the log may be dropped: the older snapshot
-// must still be reached by it.
+// Oldest returns the index up to which the log may be compacted, or 0 if it may not be: the
+// log must still continue from the older snapshot, which is the fallback.
 func (f *Folder) Oldest() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.ids) < kept {
+	if len(f.ids) < retained {
 		return 0
 	}
 	return f.ids[0].Index
 }
 
-// Save makes a snapshot durable and drops all but the newest two.
+// Save makes a snapshot durable and removes all but the two newest.
 func (f *Folder) Save(s *Snapshot) error {
 	meta, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.Meta)
 	if err != nil {
 		return failure.Wrap(failure.Internal, err, "encode the meta of a snapshot")
 	}
 	path := f.file(idOf(s.Meta), fileSuffix)
-	if err := disk.Replace(f.files, path, encodeHead(meta, s.Data), meta, s.Data); err != nil {
+	if err := disk.Replace(f.files, path, encodeHeader(meta, s.Data), meta, s.Data); err != nil {
 		return err
 	}
 	return f.add(idOf(s.Meta))
 }
 
-// add notes a durable snapshot and removes those no longer kept.
+// add records a durable snapshot and removes those that are no longer retained.
 func (f *Folder) add(id ID) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,9 +104,9 @@
 	return f.prune()
 }
 
-// prune removes all but the newest.
+// prune removes all but the newest retained snapshots.
 func (f *Folder) prune() error {
-	for len(f.ids) > kept {
+	for len(f.ids) > retained {
 		if err := f.files.Remove(f.file(f.ids[0], fileSuffix)); err != nil {
 			return disk.Fault(err, "remove an old snapshot")
 		}
@@ -115,10 +115,11 @@
 	return nil
 }
 
-// Load gives the newest snapshot that is whole; nil where there is none at all.
-// A damaged one is put out of the way and the older one stands in for it, but
-// only where the log goes on from there: state that came between would
-// otherwise be gone without a word.
+// Load returns the newest valid snapshot, or nil if there is none at all. A corrupted one
+// is renamed and the older one used instead, but only if the log continues from there:
+// otherwise the state in between would be lost silently. logFirst and logLast are the
+// indexes of the first and last entries of the log, 0 if it has none; mark is its newest
+// snapshot marker, or nil.
 func (f *Folder) Load(logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) (*Snapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,46 +128,47 @@
 		id := f.ids[len(f.ids)-1]
 		s, err := f.read(id)
 		if err == nil {
-			return s, checkReach(s.Meta, logFirst, logLast, mark, damage)
+			return s, checkLogCovers(s.Meta, logFirst, logLast, mark, damage)
 		}
 		if !failure.Is(err, failure.Corrupt) {
 			return nil, err
 		}
 		damage = err
-		if err := f.setAside(id, logFirst, logLast, mark); err != nil {
+		if err := f.renameDamaged(id, logFirst, logLast, mark); err != nil {
 			return nil, failure.Wrap(failure.Corrupt, damage, "%s", err)
 		}
 	}
 	if damage != nil || mark != nil {
-		return nil, failure.Wrap(failure.Corrupt, damage, "%s: no snapshot is whole and the log begins at entry %d", f.path, logFirst)
+		return nil, failure.Wrap(failure.Corrupt, damage, "%s: no valid snapshot, and the log begins at entry %d", f.path, logFirst)
 	}
 	return nil, nil
 }
 
-func checkReach(meta *consensuspb.SnapshotMeta, logFirst, logLast uint64, mark *consensuspb.SnapshotMeta, damage error) error {
-	reaches := logFirst != 0 && logFirst <= meta.Index+1 && logLast >= mark.GetIndex()
-	if meta.Index >= mark.GetIndex() || reaches {
+func checkLogCovers(meta *consensuspb.SnapshotMeta, logFirst, logLast uint64, mark *consensuspb.SnapshotMeta, damage error) error {
+	covered := logFirst != 0 && logFirst <= meta.Index+1 && logLast >= mark.GetIndex()
+	if meta.Index >= mark.GetIndex() || covered {
 		return nil
 	}
-	return failure.Wrap(failure.Corrupt, damage, "the log holds entries %d to %d: it does not lead from snapshot %d to %d",
+	return failure.Wrap(failure.Corrupt, damage, "the log holds entries %d to %d, which do not cover the gap from snapshot %d to %d",
 		logFirst, logLast, meta.Index, mark.GetIndex())
 }
 
-// setAside renames a damaged snapshot, for a person to look at, once it is sure
-// that the next older one can stand in.
-func (f *Folder) setAside(id ID, logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) error {
+// renameDamaged renames a corrupted snapshot, which is kept for inspection, after checking
+// that the next older one can replace it.
+func (f *Folder) renameDamaged(id ID, logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) error {
 	rest := f.ids[:len(f.ids)-1]
 	if len(rest) == 0 {
 		return failure.New(failure.Corrupt, "no older snapshot")
 	}
-	// What the damaged one covered must be in the log, marked or not.
+	// The log must cover the state of the corrupted snapshot, even if its marker was not
+	// written yet.
 	need := &consensuspb.SnapshotMeta{Index: max(id.Index, mark.GetIndex())}
 	older := &consensuspb.SnapshotMeta{Index: rest[len(rest)-1].Index}
-	if err := checkReach(older, logFirst, logLast, need, nil); err != nil {
+	if err := checkLogCovers(older, logFirst, logLast, need, nil); err != nil {
 		return err
 	}
 	if err := f.files.Rename(f.file(id, fileSuffix), f.file(id, damagedSuffix)); err != nil {
-		return disk.Fault(err, "put a damaged snapshot aside")
+		return disk.Fault(err, "rename a corrupted snapshot")
 	}
 	f.ids = rest
 	return nil
@@ -179,7 +181,7 @@
 		return nil, err
 	}
 	if !found {
-		return nil, failure.New(failure.Corrupt, "%s is gone", path)
+		return nil, failure.New(failure.Corrupt, "%s does not exist", path)
 	}
 	s, err := decode(path, content)
 	if err != nil {
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -13,48 +13,48 @@
 	"pinewinch.example/pinewinch/internal/state/snapshot"
 )
 
-const folder = "/snapshots"
+const dir = "/snapshots"
 
 func open(t is.T, files *disktest.FS) *snapshot.Folder {
-	f, err := snapshot.Open(files, folder)
+	f, err := snapshot.Open(files, dir)
 	is.New(t).NoErr(err)
 	return f
 }
 
-func made(index uint64) *snapshot.Snapshot {
+func newSnapshot(index uint64) *snapshot.Snapshot {
 	return &snapshot.Snapshot{
 		Meta: &consensuspb.SnapshotMeta{Index: index, Term: 3},
 		Data: bytes.Repeat([]byte{byte(index)}, 1000),
 	}
 }
 
-func path(index uint64) string { return fmt.Sprintf("%s/%016x-%016x.snap", folder, index, 3) }
+func path(index uint64) string { return fmt.Sprintf("%s/%016x-%016x.snap", dir, index, 3) }
 
-// Two snapshots stay, and after a power failure right behind Save the newest is
-// whole and the one that was being written is not half there.
+// Two snapshots are retained. After power is lost during a save, the newest completed
+// snapshot is valid and the one being written is not loaded.
 func TestSaveLastsAndKeepsTwo(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	f := open(t, files)
 	for _, index := range []uint64{10, 20, 30} {
-		is.NoErr(f.Save(made(index)))
+		is.NoErr(f.Save(newSnapshot(index)))
 	}
 	is.Equal(f.Oldest(), uint64(20))
 	files.FailSyncs = 1
-	is.True(failure.Is(f.Save(made(40)), failure.DiskFailed))
-	loaded, err := open(t, files.Crash(7)).Load(11, 45, made(30).Meta)
+	is.True(failure.Is(f.Save(newSnapshot(40)), failure.DiskFailed))
+	loaded, err := open(t, files.Crash(7)).Load(11, 45, newSnapshot(30).Meta)
 	is.NoErr(err)
 	is.Equal(loaded.Meta.Index, uint64(30))
-	is.Equal(loaded.Data, made(30).Data)
+	is.Equal(loaded.Data, newSnapshot(30).Data)
 }
 
-// The newest snapshot is damaged. The older one stands in where the log still
-// leads on from it; where it doesn't, the replica refuses to start, for the
-// entries in between would silently be missing.
-func TestDamagedNewestFallsBackOnlyWhereTheLogReaches(t *testing.T) {
+// The newest snapshot is corrupted. The older one is used if the log continues from it;
+// otherwise the replica refuses to start, because the entries in between would silently be
+// missing.
+func TestDamagedSnapshotFallsBackOnlyIfLogCoversGap(t *testing.T) {
 	cases := map[string]struct {
 		first, last uint64
-		unmarked    bool // the process died between snapshot and mark
+		unmarked    bool // the process ended between saving the snapshot and marking it in the log
 		refused     bool
 	}{
 		"not marked yet, log short": {first: 11, last: 15, unmarked: true, refused: true},
@@ -71,18 +71,18 @@
 			is := is.New(t)
 			files := disktest.New()
 			f := open(t, files)
-			is.NoErr(f.Save(made(10)))
-			is.NoErr(f.Save(made(20)))
+			is.NoErr(f.Save(newSnapshot(10)))
+			is.NoErr(f.Save(newSnapshot(20)))
 			files.FlipBit(path(20), 100)
-			mark := made(20).Meta
+			mark := newSnapshot(20).Meta
 			if c.unmarked {
-				mark = made(10).Meta
+				mark = newSnapshot(10).Meta
 			}
 			loaded, err := open(t, files).Load(c.first, c.last, mark)
 			if c.refused {
 				is.True(failure.Is(err, failure.Corrupt))
 				_, err = open(t, files).Load(c.first, c.last, mark)
-				is.True(failure.Is(err, failure.Corrupt)) // also at the next start
+				is.True(failure.Is(err, failure.Corrupt)) // the next start fails, too
 				return
 			}
 			is.NoErr(err)
@@ -91,14 +91,14 @@
 	}
 }
 
-// A transfer breaks off in the middle and the receiver restarts. It goes on
-// where it stopped; a byte that was changed on the way never becomes state.
+// A transfer is interrupted and the receiver restarts. The transfer resumes where it stopped,
+// and data corrupted in transit is never installed.
 func TestTransferResumesAndIsChecked(t *testing.T) {
 	for _, flip := range []bool{false, true} {
 		t.Run(fmt.Sprintf("flip=%v", flip), func(t *testing.T) {
 			is := is.New(t)
 			source := open(t, disktest.New())
-			is.NoErr(source.Save(made(20)))
+			is.NoErr(source.Save(newSnapshot(20)))
 			id, _ := source.Newest()
 			files := disktest.New()
 			var done bool
@@ -122,7 +122,7 @@
 				return
 			}
 			is.NoErr(err)
-			is.Equal(got.Data, made(20).Data)
+			is.Equal(got.Data, newSnapshot(20).Data)
 			loaded, err := open(t, files.Crash(0)).Load(0, 0, nil)
 			is.NoErr(err)
 			is.Equal(loaded.Meta.Index, uint64(20))
--- a/internal/state/snapshot/transfer.go
+++ b/internal/state/snapshot/transfer.go
@@ -9,17 +9,18 @@
 	"pinewinch.example/pinewinch/internal/state/disk"
 )
 
-// Chunk is a part of a snapshot file on its way to another replica.
+// Chunk is a part of a snapshot file that is transferred to another replica.
 type Chunk struct {
 	ID ID
-	// Total is the length of the file in bytes.
+	// Total is the length of the whole file in bytes.
 	Total  int64
 	Offset int64
 	Data   []byte
 }
 
-// ReadChunk gives up to maxBytes of a snapshot file. It fails with not_found
-// when a newer snapshot has replaced that one: the receiver then begins anew.
+// ReadChunk returns up to maxBytes of a snapshot file from an offset in bytes. It fails
+// with NotFound if the snapshot was removed because of newer ones; the receiver then starts
+// over.
 func (f *Folder) ReadChunk(id ID, offset int64, maxBytes int) (*Chunk, error) {
 	path := f.file(id, fileSuffix)
 	file, err := f.files.Open(path)
@@ -44,9 +45,9 @@
 	return &Chunk{ID: id, Total: total, Offset: offset, Data: data}, nil
 }
 
-// Incoming is a snapshot that comes in chunks. What was received stays on disk,
-// so that a broken transfer goes on where it stopped, also after a restart.
-// Nothing of it is synced or trusted before Finish has checked the whole.
+// Incoming is a snapshot that is received in chunks. Received chunks stay on disk, so that
+// an interrupted transfer resumes where it stopped, even after a restart. Nothing is synced
+// or used before Finish has verified the whole file.
 type Incoming struct {
 	folder *Folder
 	id     ID
@@ -54,9 +55,9 @@
 	offset int64
 }
 
-// Receive begins or resumes a transfer. Parts of other snapshots are dropped.
+// Receive starts or resumes a transfer and removes partial files of other snapshots.
 func (f *Folder) Receive(id ID) (*Incoming, error) {
-	if err := f.dropPartials(id); err != nil {
+	if err := f.removePartials(id); err != nil {
 		return nil, err
 	}
 	path := f.file(id, partialSuffix)
@@ -75,7 +76,8 @@
 	return &Incoming{folder: f, id: id, file: file, offset: offset}, nil
 }
 
-// Resumable names a transfer that was begun and not finished.
+// Resumable returns the id of a transfer that was started and not finished; false if there
+// is none.
 func (f *Folder) Resumable() (ID, bool) {
 	names, err := f.files.Names(f.path)
 	if err != nil {
@@ -89,14 +91,14 @@
 	return ID{}, false
 }
 
-func (f *Folder) dropPartials(but ID) error {
+func (f *Folder) removePartials(except ID) error {
 	names, err := f.files.Names(f.path)
 	if err != nil {
 		return disk.Fault(err, "list %s", f.path)
 	}
 	for _, name := range names {
 		id, ok := parseName(name, partialSuffix)
-		if !ok || id == but {
+		if !ok || id == except {
 			continue
 		}
 		if err := f.files.Remove(f.file(id, partialSuffix)); err != nil {
@@ -106,13 +108,13 @@
 	return nil
 }
 
-// Offset is where the next chunk must begin.
+// Offset returns the offset, in bytes, at which the next chunk must start.
 func (in *Incoming) Offset() int64 { return in.offset }
 
-// Add takes the next chunk and tells whether it was the last.
+// Add writes the next chunk and reports whether it was the last.
 func (in *Incoming) Add(c *Chunk) (bool, error) {
 	if c.ID != in.id || c.Offset != in.offset || c.Offset+int64(len(c.Data)) > c.Total {
-		return false, failure.New(failure.WrongAnswer, "chunk of snapshot %d at %d, wanted %d at %d", c.ID.Index, c.Offset, in.id.Index, in.offset)
+		return false, failure.New(failure.WrongAnswer, "chunk of snapshot %d at offset %d, expected snapshot %d at offset %d", c.ID.Index, c.Offset, in.id.Index, in.offset)
 	}
 	if _, err := in.file.Write(c.Data); err != nil {
 		return false, disk.Fault(err, "write a chunk")
@@ -121,8 +123,8 @@
 	return in.offset == c.Total, nil
 }
 
-// Finish checks the whole, makes it durable under its name and gives it back.
-// A transfer whose checksum differs is dropped and begins anew.
+// Finish verifies the received file, makes it durable under its final name and returns the
+// snapshot. A file that fails verification is removed, so that the transfer starts over.
 func (in *Incoming) Finish() (*Snapshot, error) {
 	defer in.file.Close()
 	f, path := in.folder, in.folder.file(in.id, partialSuffix)
@@ -154,5 +156,5 @@
 	return in.folder.files.SyncDir(in.folder.path)
 }
 
-// Close leaves a transfer to be resumed.
+// Close closes the partial file and keeps it, so that the transfer can be resumed.
 func (in *Incoming) Close() error { return in.file.Close() }
