--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -113,7 +113,7 @@
 		c.inventory = inventory.Planner{}
 		c.passGate = passGate{}
 		c.waits = starvation.Tracker{}
-		c.lastPlan.Standing = nil
+		c.lastPlan.Starved = nil
 	}
 	if c.led && !leads {
 		publishStarvation(starvation.Summary{})
@@ -305,7 +305,7 @@
 		Warm:      c.keepWarm.Update(jobs, c.now()),
 		RunTimes:  c.runTimes.update(state),
 	}
-	snapshot.GoOnFrom(c.lastPlan)
+	snapshot.CarryOver(c.lastPlan)
 	for _, customer := range state.Customers() {
 		snapshot.Customers[customer.Name] = customer
 	}
--- a/internal/coordination/dispatch/passgate.go
+++ b/internal/coordination/dispatch/passgate.go
@@ -61,8 +61,8 @@
 	if len(plan.Waiting) > 0 {
 		g.dueBy(plan.QuietSince.Add(time.Millisecond))
 	}
-	for _, starved := range plan.Standing {
-		g.dueBy(starved.Since.Add(scheduling.MostStand))
+	for _, starved := range plan.Starved {
+		g.dueBy(starved.Since.Add(scheduling.MaxStarvation))
 	}
 }
 
--- a/internal/coordination/dispatch/passgate_test.go
+++ b/internal/coordination/dispatch/passgate_test.go
@@ -35,8 +35,8 @@
 	now := time.UnixMilli(1_000_000)
 	gate := &passGate{}
 	is.True(gate.admit(1, nil, now))
-	starved := func(since time.Duration) scheduling.Standing { return scheduling.Standing{Since: now.Add(since)} }
-	gate.expectStarvation(&scheduling.Plan{Standing: []scheduling.Standing{starved(100*time.Millisecond - scheduling.MostStand), starved(-time.Minute)}})
+	starved := func(since time.Duration) scheduling.StarvedJob { return scheduling.StarvedJob{Since: now.Add(since)} }
+	gate.expectStarvation(&scheduling.Plan{Starved: []scheduling.StarvedJob{starved(100*time.Millisecond - scheduling.MaxStarvation), starved(-time.Minute)}})
 	is.True(!gate.admit(1, nil, now.Add(99*time.Millisecond)))
 	is.True(gate.admit(1, nil, now.Add(100*time.Millisecond)))
 	gate.expectStarvation(&scheduling.Plan{Waiting: make([]scheduling.Reason, 1), QuietSince: now.Add(149 * time.Millisecond)})
--- a/internal/coordination/dispatch/starvation/starvation.go
+++ b/internal/coordination/dispatch/starvation/starvation.go
@@ -22,9 +22,9 @@
 type Cause struct {
 	// Code is the reason given by the pass, or "starting" or "stopping".
 	Code string
-	// Near is the rack of the job's data, or scheduling.OneRack, if the pass delays the job
-	// until it can run there; empty otherwise.
-	Near string
+	// Locality is the rack of the job's data, or scheduling.OneRack, if the pass delays the
+	// job until it can run there; empty otherwise.
+	Locality string
 	// Starved is set if the plan reports the job as starved.
 	Starved bool
 }
@@ -36,9 +36,9 @@
 	// Waited is the time for which the job could have run, StarvedFor the time for which it
 	// has been starved.
 	Waited, StarvedFor time.Duration
-	// Free and All are the free and the whole capacity of the job's service; set only if
+	// Free and Total are the free and the total capacity of the job's service; set only if
 	// the job is starved.
-	Free, All scheduling.Room
+	Free, Total scheduling.Resources
 	// Others is the number of other jobs that wait for the same cause.
 	Others int
 }
@@ -69,8 +69,8 @@
 // waits to log, those to warn of, and a summary of the starved jobs.
 func (t *Tracker) Observe(now time.Time, jobs []*controlpb.Job, plan *scheduling.Plan) (toLog, toWarn []Wait, summary Summary) {
 	causes := causesOf(jobs, plan, now)
-	starvedJobs := map[string]scheduling.Standing{}
-	for _, starved := range plan.Standing {
+	starvedJobs := map[string]scheduling.StarvedJob{}
+	for _, starved := range plan.Starved {
 		starvedJobs[starved.Job] = starved
 	}
 	others := map[Cause]int{}
@@ -94,7 +94,7 @@
 		waits[job.Id] = tracked
 		current := Wait{Job: job, Cause: cause, Waited: now.Sub(tracked.since), Others: others[cause] - 1}
 		if starved, ok := starvedJobs[job.Id]; ok {
-			current.StarvedFor, current.Free, current.All = now.Sub(starved.Since), starved.Free, starved.All
+			current.StarvedFor, current.Free, current.Total = now.Sub(starved.Since), starved.Free, starved.Total
 		}
 		summary.add(current, now.Sub(t.observed))
 		if current.Waited >= logAfter && tracked.logged != cause {
@@ -145,13 +145,13 @@
 			delete(causes, job.Id)
 		}
 	}
-	for _, localityWait := range plan.Kept {
+	for _, localityWait := range plan.LocalityWaits {
 		if cause, ok := causes[localityWait.Job]; ok {
-			cause.Near = localityWait.Near
+			cause.Locality = localityWait.Locality
 			causes[localityWait.Job] = cause
 		}
 	}
-	for _, starved := range plan.Standing {
+	for _, starved := range plan.Starved {
 		if cause, ok := causes[starved.Job]; ok {
 			cause.Starved = true
 			causes[starved.Job] = cause
--- a/internal/coordination/dispatch/starvation/starvation_test.go
+++ b/internal/coordination/dispatch/starvation/starvation_test.go
@@ -27,7 +27,7 @@
 	plan := &scheduling.Plan{}
 	for _, job := range jobs {
 		plan.Waiting = append(plan.Waiting, scheduling.Reason{Job: job, Code: scheduling.ReasonNoCapacity})
-		plan.Standing = append(plan.Standing, scheduling.Standing{Job: job, Since: start})
+		plan.Starved = append(plan.Starved, scheduling.StarvedJob{Job: job, Since: start})
 	}
 	return plan
 }
@@ -38,7 +38,7 @@
 	jobs := []*controlpb.Job{newJob("a", "a", waiting), newJob("b", "b", stopping)}
 	tracker := &starvation.Tracker{}
 	plan := starvedPlan("a")
-	plan.Standing = append(plan.Standing, scheduling.Standing{Job: "b", Since: start})
+	plan.Starved = append(plan.Starved, scheduling.StarvedJob{Job: "b", Since: start})
 	toLog, toWarn, summary := tracker.Observe(start, jobs, plan)
 	is.Equal(len(toLog)+len(toWarn), 0)
 	is.Equal(summary.Longest, time.Duration(0))
@@ -66,10 +66,10 @@
 	tracker.Observe(start, jobs, starvedPlan("a"))
 	tracker.Observe(start.Add(time.Second), jobs, starvedPlan("a"))
 	plan := starvedPlan("a")
-	plan.Standing, plan.Kept = nil, []scheduling.Kept{{Job: "a", Near: "r1"}}
+	plan.Starved, plan.LocalityWaits = nil, []scheduling.LocalityWait{{Job: "a", Locality: "r1"}}
 	toLog, _, summary := tracker.Observe(start.Add(1500*time.Millisecond), jobs, plan)
 	is.Equal(len(toLog), 1)
-	is.Equal(toLog[0].Cause, starvation.Cause{Code: "no_free_capacity", Near: "r1"})
+	is.Equal(toLog[0].Cause, starvation.Cause{Code: "no_free_capacity", Locality: "r1"})
 	is.Equal(toLog[0].Waited, 1500*time.Millisecond)
 	is.Equal(summary.Jobs, 0)
 }
--- a/internal/coordination/dispatch/waits.go
+++ b/internal/coordination/dispatch/waits.go
@@ -41,14 +41,14 @@
 func waitFields(state *store.State, wait *starvation.Wait) logrus.Fields {
 	fields := logrus.Fields{
 		"job": wait.Job.Id, "epoch": wait.Job.Epoch, "queue": wait.Job.WorkClass, "customer": wait.Job.Customer,
-		"code": wait.Cause.Code, "near": wait.Cause.Near, "others": wait.Others,
+		"code": wait.Cause.Code, "near": wait.Cause.Locality, "others": wait.Others,
 		"tasks": wait.Job.Tasks, "able_ms": wait.Waited.Milliseconds(), "index": state.Index(),
 	}
 	if wait.Cause.Starved {
 		fields["stood_ms"] = wait.StarvedFor.Milliseconds()
-		fields["free_accelerators"], fields["accelerators"] = wait.Free.Accelerators, wait.All.Accelerators
-		fields["free_cores_milli"], fields["cores_milli"] = wait.Free.CoresMilli, wait.All.CoresMilli
-		fields["free_memory_mb"], fields["memory_mb"] = wait.Free.MemoryMB, wait.All.MemoryMB
+		fields["free_accelerators"], fields["accelerators"] = wait.Free.Accelerators, wait.Total.Accelerators
+		fields["free_cores_milli"], fields["cores_milli"] = wait.Free.CoresMilli, wait.Total.CoresMilli
+		fields["free_memory_mb"], fields["memory_mb"] = wait.Free.MemoryMB, wait.Total.MemoryMB
 	}
 	return fields
 }
--- a/internal/coordination/scheduling/locality_test.go
+++ b/internal/coordination/scheduling/locality_test.go
@@ -52,7 +52,7 @@
 	jobs := r.active(now)
 	snapshot := unitsSnapshot(r.workers, jobs...)
 	snapshot.Now = start.Add(now)
-	snapshot.GoOnFrom(r.plan)
+	snapshot.CarryOver(r.plan)
 	r.plan = Pass(snapshot)
 	for _, assignment := range r.plan.Assignments {
 		i := slices.IndexFunc(jobs, func(job *controlpb.Job) bool { return job.Id == assignment.Job })
--- a/internal/coordination/scheduling/pass.go
+++ b/internal/coordination/scheduling/pass.go
@@ -20,7 +20,7 @@
 	// waitingWorkflows has the workflows with waiting jobs.
 	waitingWorkflows map[string]bool
 	// previouslyStarved has the jobs that the previous plan listed as starved.
-	previouslyStarved map[string]Standing
+	previouslyStarved map[string]StarvedJob
 	// decided jobs have an outcome in this pass, and started ones have been assigned.
 	decided map[string]bool
 	started map[string]bool
@@ -116,7 +116,7 @@
 		plan:              &Plan{},
 		used:              map[customerID]int64{},
 		waitingWorkflows:  workflowsWithWaitingJobs(snapshot.Jobs),
-		previouslyStarved: map[string]Standing{},
+		previouslyStarved: map[string]StarvedJob{},
 		decided:           map[string]bool{},
 		started:           map[string]bool{},
 		waitReasons:       map[shapeKey]ReasonCode{},
--- a/internal/coordination/scheduling/scheduling.go
+++ b/internal/coordination/scheduling/scheduling.go
@@ -48,7 +48,7 @@
 	// Reservations are those of the previous plan, if any.
 	Reservations []Reservation
 	// Starved are the starved jobs of the previous plan, if any.
-	Starved []Standing
+	Starved []StarvedJob
 	// Warm are workers that urgent work has just left; free capacity there is kept for
 	// the next urgent work for a short time.
 	Warm map[string]bool
@@ -59,9 +59,9 @@
 	Disabled Mechanisms
 }
 
-// GoOnFrom copies the state that a plan passes on to the next pass.
-func (s *Snapshot) GoOnFrom(plan *Plan) {
-	s.Cells, s.Reservations, s.Starved = plan.Cells, plan.Reservations, plan.Standing
+// CarryOver copies the state that a plan passes on to the next pass.
+func (s *Snapshot) CarryOver(plan *Plan) {
+	s.Cells, s.Reservations, s.Starved = plan.Cells, plan.Reservations, plan.Starved
 }
 
 // ReasonCode is why a job waits.
@@ -103,16 +103,16 @@
 	Assignments []*controlpb.Assignment
 	Preemptions []*controlpb.Preemption
 	Waiting     []Reason
-	// Kept are the waiting jobs that are restricted to a part of the workers eligible
-	// for them; Standing are the starved jobs: nothing of them runs although there is
-	// free capacity for them after this plan.
-	Kept     []Kept
-	Standing []Standing
+	// LocalityWaits are the waiting jobs that are restricted to a part of the workers
+	// eligible for them; Starved are the starved jobs: nothing of them runs although
+	// there is free capacity for them after this plan.
+	LocalityWaits []LocalityWait
+	Starved       []StarvedJob
 	// QuietSince is when arrivals will count as having stopped, if no further work
 	// arrives.
 	QuietSince time.Time
-	// Cells, Reservations and Standing are part of the next pass's snapshot: see
-	// GoOnFrom.
+	// Cells, Reservations and Starved are part of the next pass's snapshot: see
+	// CarryOver.
 	Cells        []Cell
 	Reservations []Reservation
 	Unmet        []Unmet
@@ -149,13 +149,13 @@
 // invariants.
 func refusedPlan(snapshot *Snapshot, plan *Plan, breach *Breach) *Plan {
 	unchanged := &Plan{
-		Waiting:      plan.Waiting,
-		Cells:        snapshot.Cells,
-		Reservations: snapshot.Reservations,
-		Unmet:        plan.Unmet,
-		Kept:         plan.Kept,
-		Standing:     plan.Standing,
-		Breach:       breach,
+		Waiting:       plan.Waiting,
+		Cells:         snapshot.Cells,
+		Reservations:  snapshot.Reservations,
+		Unmet:         plan.Unmet,
+		LocalityWaits: plan.LocalityWaits,
+		Starved:       plan.Starved,
+		Breach:        breach,
 	}
 	for _, assignment := range plan.Assignments {
 		unchanged.Waiting = append(unchanged.Waiting, Reason{Job: assignment.Job, Code: ReasonRefused})
--- a/internal/coordination/scheduling/starvation.go
+++ b/internal/coordination/scheduling/starvation.go
@@ -7,33 +7,33 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Standing is a starved job: nothing of it or its workflow runs although its service
+// StarvedJob is a job of which, or of whose workflow, nothing runs although its service
 // has free capacity for it. That means that over half of each kind of resource it asks
 // for is free (or of one kind, once arrivals have stopped), and that twice its tasks
 // fit.
-type Standing struct {
+type StarvedJob struct {
 	Job string
 	// Since is the time of the first pass of which this was true without interruption.
 	Since time.Time
-	// Free and All are the free and total resources of the job's service.
-	Free, All Room
+	// Free and Total are the free and total resources of the job's service.
+	Free, Total Resources
 }
 
-// Room is a quantity of resources; cores are in thousandths.
-type Room struct {
+// Resources is a quantity of resources; cores are in thousandths.
+type Resources struct {
 	Accelerators int64
 	CoresMilli   int64
 	MemoryMB     int64
 }
 
-func resourcesOf(a resources) Room { return Room{a.accelerators, a.cores, a.memory} }
+func resourcesOf(a resources) Resources { return Resources{a.accelerators, a.cores, a.memory} }
 
-// Kept is a waiting job that is restricted to local capacity, although it may run
-// elsewhere.
-type Kept struct {
+// LocalityWait is a waiting job that is restricted to local capacity, although it may
+// run elsewhere.
+type LocalityWait struct {
 	Job string
-	// Near is the rack of the job's data, or OneRack.
-	Near string
+	// Locality is the rack of the job's data, or OneRack.
+	Locality string
 }
 
 // OneRack is the restriction of a tightly coupled gang that waits for capacity in a
@@ -44,20 +44,20 @@
 	// ampleFreeShare is the share of a service's resources that has to be free for its
 	// capacity to count as ample.
 	ampleFreeShare = 0.5
-	// MostStand is how long work may be starved. Together with a delayed pass, a commit
-	// and a start this stays within three seconds.
-	MostStand = 1500 * time.Millisecond
+	// MaxStarvation is how long work may be starved. Together with a delayed pass, a
+	// commit and a start this stays within three seconds.
+	MaxStarvation = 1500 * time.Millisecond
 )
 
 // serviceCapacity is the free and total resources of a service's workers, including
 // those that get no new work: their unavailability may be why work is starved.
-type serviceCapacity struct{ free, all resources }
+type serviceCapacity struct{ free, total resources }
 
 func (p *pass) serviceCapacity(service string) *serviceCapacity {
 	s := &serviceCapacity{}
 	for _, n := range p.cluster.nodes {
 		if service == "" || slices.Contains(n.worker.Services, service) {
-			s.free, s.all = s.free.plus(n.free), s.all.plus(n.total)
+			s.free, s.total = s.free.plus(n.free), s.total.plus(n.total)
 		}
 	}
 	return s
@@ -77,13 +77,13 @@
 // free, and whether over half of each is.
 func (s *serviceCapacity) ampleFree(perTask resources) (some, all bool) {
 	all = true
-	for _, kind := range []struct{ asked, free, all int64 }{
-		{perTask.accelerators, s.free.accelerators, s.all.accelerators},
-		{perTask.cores, s.free.cores, s.all.cores},
-		{perTask.memory, s.free.memory, s.all.memory},
+	for _, kind := range []struct{ asked, free, total int64 }{
+		{perTask.accelerators, s.free.accelerators, s.total.accelerators},
+		{perTask.cores, s.free.cores, s.total.cores},
+		{perTask.memory, s.free.memory, s.total.memory},
 	} {
 		if kind.asked > 0 {
-			ample := float64(kind.free) > ampleFreeShare*float64(kind.all)
+			ample := float64(kind.free) > ampleFreeShare*float64(kind.total)
 			some, all = some || ample, all && ample
 		}
 	}
@@ -100,7 +100,7 @@
 			newest = max(newest, job.SubmittedMs)
 		}
 	}
-	return time.UnixMilli(newest).Add(MostStand)
+	return time.UnixMilli(newest).Add(MaxStarvation)
 }
 
 // quiet reports whether arrivals have stopped.
@@ -117,13 +117,13 @@
 // on any eligible worker.
 func (p *pass) starvedTooLong(req *request) bool {
 	starved, known := p.previouslyStarved[req.job.Id]
-	return known && p.snapshot.Now.Sub(starved.Since) >= MostStand && !p.disabled(StartStarved)
+	return known && p.snapshot.Now.Sub(starved.Since) >= MaxStarvation && !p.disabled(StartStarved)
 }
 
 // waitedUntilQuiet reports whether a job has waited as long when arrivals stop:
 // capacity of some kind was free before, and counts from then on.
 func (p *pass) waitedUntilQuiet(req *request) bool {
-	return p.quiet() && p.nowMs-req.job.SubmittedMs >= MostStand.Milliseconds() && !p.disabled(StartStarved)
+	return p.quiet() && p.nowMs-req.job.SubmittedMs >= MaxStarvation.Milliseconds() && !p.disabled(StartStarved)
 }
 
 // startStarved starts work that has been starved too long on capacity it was restricted
@@ -200,7 +200,7 @@
 func (p *pass) recordLocalityWaits(queue []*request) {
 	for _, req := range queue {
 		if locality := req.locality(); locality != "" && !p.started[req.job.Id] {
-			p.plan.Kept = append(p.plan.Kept, Kept{req.job.Id, locality})
+			p.plan.LocalityWaits = append(p.plan.LocalityWaits, LocalityWait{req.job.Id, locality})
 		}
 	}
 	p.recordStarved()
@@ -233,11 +233,11 @@
 		if unrestricted := p.unrestrictedRequest(job); !p.idle(unrestricted) || !p.fitsTwiceCached(fits, unrestricted) {
 			continue
 		}
-		starved := Standing{Job: job.Id, Since: p.snapshot.Now, Free: resourcesOf(service.free), All: resourcesOf(service.all)}
+		starved := StarvedJob{Job: job.Id, Since: p.snapshot.Now, Free: resourcesOf(service.free), Total: resourcesOf(service.total)}
 		if earlier, ok := p.previouslyStarved[job.Id]; ok {
 			starved.Since = earlier.Since
 		}
-		p.plan.Standing = append(p.plan.Standing, starved)
+		p.plan.Starved = append(p.plan.Starved, starved)
 	}
 }
 
--- a/internal/coordination/scheduling/starvation_test.go
+++ b/internal/coordination/scheduling/starvation_test.go
@@ -73,7 +73,7 @@
 	for now := time.Duration(0); now <= length; now += replayStep {
 		r.pass(now)
 		for _, job := range r.active(now) {
-			if job.State != controlpb.JobState_JOB_STATE_WAITING || !r.starvedNow(job, now, now-last > MostStand) {
+			if job.State != controlpb.JobState_JOB_STATE_WAITING || !r.starvedNow(job, now, now-last > MaxStarvation) {
 				delete(since, job.Id)
 				continue
 			}
@@ -111,7 +111,7 @@
 func TestStarvedWorkMayPreempt(t *testing.T) {
 	one := func() []Worker { return testWorkers(1, 1, 1, 8) }
 	starved := func(snapshot *Snapshot, job string) *Snapshot {
-		snapshot.Starved = []Standing{{Job: job, Since: start.Add(-time.Minute)}}
+		snapshot.Starved = []StarvedJob{{Job: job, Since: start.Add(-time.Minute)}}
 		return snapshot
 	}
 	lent := func() *controlpb.Job { return unitJob("loan", "b", 1, 8, running(time.Second, 0, "d0-r0-w0")) }
--- a/internal/experiment/overload/engine.go
+++ b/internal/experiment/overload/engine.go
@@ -244,7 +244,7 @@
 		Now: now, Workers: workers, Jobs: jobs, Customers: e.day.customers, Rules: &controlpb.Rules{},
 		Warm: e.warm.Update(jobs, now), RunTimes: e.learned, Disabled: e.off,
 	}
-	snapshot.GoOnFrom(e.plan)
+	snapshot.CarryOver(e.plan)
 	e.plan = scheduling.Pass(snapshot)
 	e.result.Passes++
 	if e.plan.Breach != nil {
--- a/internal/experiment/replay/engine.go
+++ b/internal/experiment/replay/engine.go
@@ -219,7 +219,7 @@
 		Now: epochStart.Add(e.now), Workers: workers, Jobs: e.active, Customers: e.scenario.Customers,
 		Rules: &controlpb.Rules{FragmentationWeight: e.scenario.FragmentationWeight}, RunTimes: e.learned,
 	}
-	snapshot.GoOnFrom(e.plan)
+	snapshot.CarryOver(e.plan)
 	began := time.Now()
 	e.plan = e.policy.Pass(snapshot)
 	e.meter.passes = append(e.meter.passes, time.Since(began))
