--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// leaseOver is nil where workers renew leases themselves.
-func (w *workers) leaseOver() func(string) bool {
+// leaseExpired is nil where workers renew leases themselves.
+func (w *workers) leaseExpired() func(string) bool {
 	if w.keeper == nil {
 		return nil
 	}
@@ -108,7 +108,7 @@
 	return dispatch.New(dispatch.Config{
 		Logger:       logger,
 		Term:         w.term,
-		LeaseExpired: w.leaseOver(),
+		LeaseExpired: w.leaseExpired(),
 		MayLead:      w.mayLead,
 		Speeds:       w.speeds(),
 		Wakeups:      w.wakeups,
--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -206,7 +206,7 @@
 		return assignments
 	}
 	now := c.now()
-	unannounced := func(p *controlpb.Placement) bool { return !c.dispatcher.machine.Heard(p.Worker, now) }
+	unannounced := func(p *controlpb.Placement) bool { return !c.dispatcher.machine.AnnouncedWithinLease(p.Worker, now) }
 	var announced []*controlpb.Assignment
 	for _, assignment := range assignments {
 		if !slices.ContainsFunc(assignment.Placements, unannounced) {
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -60,7 +60,7 @@
 type Config struct {
 	Gang       gang.Config
 	Quarantine quarantine.Config
-	// LeaseExpired is passed to gang.Input.LeaseOver; nil if workers renew their leases
+	// LeaseExpired is passed to gang.Input.LeaseExpired; nil if workers renew their leases
 	// by announcements.
 	LeaseExpired func(worker string) bool
 	// MayLead is false for an instance that has no log replica and never leads; it does
@@ -141,7 +141,7 @@
 // an entry instance has a fifth of a core and should not spend it on scanning jobs.
 func (d *Dispatcher) ObserveStops() {
 	if d.config.MayLead && d.config.LeaseExpired == nil {
-		d.machine.Follow(d.config.Now(), d.control.State().ActiveJobs())
+		d.machine.ObserveStops(d.config.Now(), d.control.State().ActiveJobs())
 	}
 }
 
@@ -156,12 +156,12 @@
 	}
 	state := d.control.State()
 	output := d.machine.Step(&gang.Input{
-		Now:         d.config.Now(),
-		Jobs:        state.ActiveJobs(),
-		Workers:     workers,
-		Answers:     d.drainAnswers(),
-		Quarantined: func(worker string) bool { return d.verdict(state, worker) >= quarantine.Quarantined },
-		LeaseOver:   d.config.LeaseExpired,
+		Now:          d.config.Now(),
+		Jobs:         state.ActiveJobs(),
+		Workers:      workers,
+		Answers:      d.drainAnswers(),
+		Quarantined:  func(worker string) bool { return d.verdict(state, worker) >= quarantine.Quarantined },
+		LeaseExpired: d.config.LeaseExpired,
 	})
 	for _, command := range output.Commands {
 		go d.send(ctx, command)
--- a/internal/coordination/dispatch/gang/machine.go
+++ b/internal/coordination/dispatch/gang/machine.go
@@ -59,10 +59,10 @@
 	Answers []Answer
 	// Quarantined reports whether a worker is in quarantine as unhealthy.
 	Quarantined func(worker string) bool
-	// LeaseOver reports whether the lease of a worker that does not answer has expired,
-	// so that none of its tasks can still be running. It is nil if workers renew their
-	// leases by announcements; Config.StopWait bounds those leases.
-	LeaseOver func(worker string) bool
+	// LeaseExpired reports whether the lease of a worker that does not answer has
+	// expired, so that none of its tasks can still be running. It is nil if workers renew
+	// their leases by announcements; Config.StopWait bounds those leases.
+	LeaseExpired func(worker string) bool
 }
 
 // Output is the result of a step. Commands may be sent immediately; Batch is to be
@@ -116,9 +116,11 @@
 	return next
 }
 
-// Follow records which of the active jobs of the latest committed state are being
+// ObserveStops records which of the active jobs of the latest committed state are being
 // stopped. It is called while this instance is not the leader.
-func (m *Machine) Follow(now time.Time, jobs []*controlpb.Job) { m.stops = m.stops.observe(now, jobs) }
+func (m *Machine) ObserveStops(now time.Time, jobs []*controlpb.Job) {
+	m.stops = m.stops.observe(now, jobs)
+}
 
 // step is the context of one call of Step. scan is set if members are checked for
 // absence and stalls in this step.
@@ -133,8 +135,8 @@
 func (m *Machine) Step(in *Input) *Output {
 	s := &step{Machine: m, in: in, out: &Output{}}
 	s.begin()
-	if in.LeaseOver == nil {
-		s.Follow(in.Now, in.Jobs)
+	if in.LeaseExpired == nil {
+		s.ObserveStops(in.Now, in.Jobs)
 	}
 	s.readAnnouncements()
 	s.applyAnswers()
@@ -205,7 +207,7 @@
 // arrives within one interval. Workers that do not renew leases by announcements need
 // no recent one.
 func (s *step) canGrantLease(w *worker) bool {
-	return s.in.LeaseOver != nil || s.announcedWithinLease(w, s.in.Now)
+	return s.in.LeaseExpired != nil || s.announcedWithinLease(w, s.in.Now)
 }
 
 // announcedWithinLease reports whether the worker's newest announcement was received in this
@@ -214,10 +216,10 @@
 	return !w.receivedAt.IsZero() && now.Sub(w.receivedAt) < m.config.Lease
 }
 
-// Heard reports whether an announcement of the worker was received in this leadership
-// term, less than one lease duration ago. It is meant for workers that renew their
-// leases by announcements.
-func (m *Machine) Heard(id string, now time.Time) bool {
+// AnnouncedWithinLease reports whether an announcement of the worker was received in this
+// leadership term, less than one lease duration ago. It is meant for workers that renew
+// their leases by announcements.
+func (m *Machine) AnnouncedWithinLease(id string, now time.Time) bool {
 	known := m.workers[id]
 	return known != nil && m.announcedWithinLease(known, now)
 }
--- a/internal/coordination/dispatch/gang/model_test.go
+++ b/internal/coordination/dispatch/gang/model_test.go
@@ -231,7 +231,7 @@
 }
 
 func (m *model) followLog() {
-	m.standby.machine.Follow(m.standby.clock.at(m.elapsed), m.state.ActiveJobs())
+	m.standby.machine.ObserveStops(m.standby.clock.at(m.elapsed), m.state.ActiveJobs())
 }
 
 func (m *model) deposedStillLeads() bool {
--- a/internal/coordination/dispatch/gang/stopping.go
+++ b/internal/coordination/dispatch/gang/stopping.go
@@ -27,7 +27,7 @@
 // leader counts StopWait from when its own replica had the stop, whichever instance led
 // then: times on the previous leader's clock cannot be compared with its own.
 func (s *step) stopping(job *controlpb.Job, r *run) {
-	if s.in.LeaseOver != nil && !r.mayHaveStarted {
+	if s.in.LeaseExpired != nil && !r.mayHaveStarted {
 		// No start command was sent, so there is nothing to stop and no lease to wait
 		// for. Without this case, a gang with a member on a partitioned worker was
 		// released only after 6 s.
@@ -57,8 +57,8 @@
 // leaseExpired reports whether the lease of a member that did not acknowledge the stop
 // has certainly expired.
 func (s *step) leaseExpired(m *member, r *run) bool {
-	if s.in.LeaseOver != nil {
-		return s.in.LeaseOver(m.placement.Worker)
+	if s.in.LeaseExpired != nil {
+		return s.in.LeaseExpired(m.placement.Worker)
 	}
 	return s.in.Now.Sub(r.since) >= s.config.StopWait()
 }
--- a/internal/coordination/dispatch/gang/stops_test.go
+++ b/internal/coordination/dispatch/gang/stops_test.go
@@ -63,7 +63,7 @@
 		Id: "j", Tasks: 1, Epoch: 1, Idempotent: true, StartedMs: 1, State: stopping, NextState: waiting,
 		Placements: []*controlpb.Placement{{Worker: "w", Incarnation: 1}},
 	}
-	machine.Follow(now, []*controlpb.Job{job})
+	machine.ObserveStops(now, []*controlpb.Job{job})
 	later := proto.CloneOf(job)
 	later.Epoch = 2
 	now = now.Add(2 * config.StopWait())
--- a/internal/coordination/dispatch/gang/unstarted_test.go
+++ b/internal/coordination/dispatch/gang/unstarted_test.go
@@ -34,7 +34,7 @@
 		l.job.Placements = append(l.job.Placements, &controlpb.Placement{Task: uint32(task), Worker: id, Incarnation: 1})
 	}
 	// After a minute of leadership the leader knows that no other has started the job.
-	l.machine.Step(&gang.Input{Now: l.now, Workers: l.workers, LeaseOver: leaseNotExpired})
+	l.machine.Step(&gang.Input{Now: l.now, Workers: l.workers, LeaseExpired: leaseNotExpired})
 	l.now = l.now.Add(time.Minute)
 	return l
 }
@@ -43,7 +43,7 @@
 
 func (l *leaderRenewalModel) step(answers ...gang.Answer) *gang.Output {
 	l.now = l.now.Add(10 * time.Millisecond)
-	return l.machine.Step(&gang.Input{Now: l.now, Jobs: []*controlpb.Job{l.job}, Workers: l.workers, Answers: answers, LeaseOver: leaseNotExpired})
+	return l.machine.Step(&gang.Input{Now: l.now, Jobs: []*controlpb.Job{l.job}, Workers: l.workers, Answers: answers, LeaseExpired: leaseNotExpired})
 }
 
 func answerOf(kind gang.Kind, task uint32, err *failure.Error) gang.Answer {
