--- a/internal/app/requests.go
+++ b/internal/app/requests.go
@@ -34,10 +34,10 @@
 
 func newExecutor(s *settings.Settings, log control.Log, router *routing.Router, network *peers.Network) *claims.Executor {
 	config := claims.Config{
-		Instance:    s.Instance.Name,
-		KeepAnswers: s.Requests.KeepAnswers,
-		KeepBytes:   s.Requests.KeepAnswersBytes,
-		Now:         time.Now,
+		Instance:       s.Instance.Name,
+		AnswerTTL:      s.Requests.KeepAnswers,
+		MaxAnswerBytes: s.Requests.KeepAnswersBytes,
+		Now:            time.Now,
 	}
 	return claims.New(config, log, router, network)
 }
--- a/internal/app/stop.go
+++ b/internal/app/stop.go
@@ -45,7 +45,7 @@
 	g.server.BeginStop()
 	g.logger.Info("stopping")
 	if g.failed.Load() {
-		g.executor.Cut()
+		g.executor.CancelRequests()
 		g.web.Close()
 		return
 	}
@@ -58,7 +58,7 @@
 		return
 	}
 	g.logger.Warn("grace is over: requests in flight are cut")
-	g.executor.Cut()
+	g.executor.CancelRequests()
 	last, cancelLast := context.WithTimeout(context.Background(), cutTime)
 	defer cancelLast()
 	if g.web.Shutdown(last) != nil {
--- a/internal/coordination/claims/executor.go
+++ b/internal/coordination/claims/executor.go
@@ -69,11 +69,11 @@
 type Config struct {
 	// Instance is the name of this instance.
 	Instance string
-	// KeepAnswers and KeepBytes limit the age and the total size of the answers
+	// AnswerTTL and MaxAnswerBytes limit the age and the total size of the answers
 	// cached for resends.
-	KeepAnswers time.Duration
-	KeepBytes   int64
-	Now         func() time.Time
+	AnswerTTL      time.Duration
+	MaxAnswerBytes int64
+	Now            func() time.Time
 }
 
 // Executor executes callers' requests. It is safe for concurrent use.
@@ -104,7 +104,7 @@
 		control:        control,
 		sender:         sender,
 		peers:          peers,
-		answers:        NewAnswerCache(config.KeepAnswers, config.KeepBytes),
+		answers:        NewAnswerCache(config.AnswerTTL, config.MaxAnswerBytes),
 		requestsCtx:    requestsCtx,
 		cancelRequests: cancelRequests,
 		logCtx:         logCtx,
@@ -224,9 +224,9 @@
 	return &own
 }
 
-// Cut cancels all requests: a queued request fails as not run, one that a minion
-// may be running is reported with an unknown outcome.
-func (e *Executor) Cut() { e.cancelRequests() }
+// CancelRequests cancels all requests: a queued request fails as not run, one that a
+// minion may be running is reported with an unknown outcome.
+func (e *Executor) CancelRequests() { e.cancelRequests() }
 
 // Stop waits until all outcomes are recorded in the log or ctx ends. A claim that
 // is still pending then becomes unknown; it is never run again.
--- a/internal/coordination/claims/executor_test.go
+++ b/internal/coordination/claims/executor_test.go
@@ -131,7 +131,7 @@
 // a later call may run it. Otherwise the caller gets "unknown" at its deadline,
 // and the late answer is recorded under the request's key, where the next call
 // finds it.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
@@ -162,7 +162,7 @@
 
 // An instance fails while it holds a pending claim. A resend waits until the
 // claim's pending time has ended and then gets "unknown"; it never runs.
-func TestClaimantDies(t *testing.T) {
+func TestInstanceDiesWithPendingClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
@@ -224,7 +224,7 @@
 // The grace period of a stop ends. The request that is queued for a minion fails
 // as not run, the one at a minion gets an unknown outcome, both immediately. Their
 // outcomes are still recorded in the log.
-func TestCutAtStop(t *testing.T) {
+func TestStopCancelsRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster()
@@ -242,7 +242,7 @@
 		group.Go(func() { _, queued = c.do(t.Context(), "i1", "queued", "ash") })
 		time.Sleep(time.Second)
 		start := time.Now()
-		c.executors["i1"].Cut()
+		c.executors["i1"].CancelRequests()
 		group.Wait()
 		is.Equal(time.Since(start), time.Duration(0))
 		expectFailure(is, atMinion, failure.OutcomeUnknown, failure.NotRunUnknown)
--- a/internal/coordination/claims/fakes_test.go
+++ b/internal/coordination/claims/fakes_test.go
@@ -124,7 +124,7 @@
 		return c.minion.run(request, 50*time.Millisecond)
 	}
 	for _, name := range []string{"i1", "i2"} {
-		config := Config{Instance: name, KeepAnswers: time.Minute, KeepBytes: 1 << 20, Now: time.Now}
+		config := Config{Instance: name, AnswerTTL: time.Minute, MaxAnswerBytes: 1 << 20, Now: time.Now}
 		c.executors[name] = New(config, c.log, c.minion, c)
 	}
 	return c
