--- a/internal/app/leased.go
+++ b/internal/app/leased.go
@@ -49,7 +49,7 @@
 		accepted *connections.Group
 	}{
 		{s.Leased.Control, platform.NewControl(newAnnouncements(node, registry, logger, s.Instance.Name, share.Accepted), operators.NewDesk(node, logger), s.Leased.Control, s.Leased.AnnounceEvery), accepted},
-		{s.Leased.Callers, platform.NewCallers(workflows.NewDesk(node, logger)), accepted},
+		{s.Leased.Callers, platform.NewCallers(workflows.NewHandler(node, logger)), accepted},
 		{s.Leased.Metrics, metrics.Handler(), nil},
 		{s.Leased.Readiness, platform.Readiness(func() error { return ready(node, stopping) }), accepted},
 	}
@@ -91,7 +91,7 @@
 	if stopping.Load() {
 		return failure.New(failure.NotReady, "the instance stops")
 	}
-	return workflows.Ready(node)
+	return workflows.CheckReady(node)
 }
 
 func listenAndServe(address netip.AddrPort, handler http.Handler, accepted *connections.Group, logger *logrus.Logger) (*http.Server, error) {
--- a/internal/coordination/workflows/workflows.go
+++ b/internal/coordination/workflows/workflows.go
@@ -43,19 +43,21 @@
 	Host string
 	Path string
 	Key  string
-	// Patience is the caller's timeout, or 0 if it gave none.
-	Patience time.Duration
+	// Timeout is the caller's timeout, or 0 if it gave none.
+	Timeout time.Duration
 }
 
-// Desk serves callers' calls on one instance.
-type Desk struct {
+// Handler serves callers' calls on one instance.
+type Handler struct {
 	log    control.Log
 	cache  catalog.Cache
 	logger *logrus.Logger
 }
 
-// NewDesk returns a Desk that proposes to log.
-func NewDesk(log control.Log, logger *logrus.Logger) *Desk { return &Desk{log: log, logger: logger} }
+// NewHandler returns a Handler that proposes to log.
+func NewHandler(log control.Log, logger *logrus.Logger) *Handler {
+	return &Handler{log: log, logger: logger}
+}
 
 // Target is the queue, customer and workflow of a call. ID is empty for a call on
 // the queue itself, Customer for an anonymous queue.
@@ -67,9 +69,9 @@
 	Revision uint64
 }
 
-// Ready fails while this instance would refuse all calls: with not_ready before
+// CheckReady fails while this instance would refuse all calls: with not_ready before
 // the first declarations, and with stale_state while its state may be outdated.
-func Ready(log control.Log) error {
+func CheckReady(log control.Log) error {
 	if err := log.Fresh(); err != nil {
 		return err
 	}
@@ -80,13 +82,13 @@
 }
 
 // Resolve finds the queue of a call and authenticates its key. It fails with
-// not_ready or stale_state as Ready does, with not_found if no queue matches, and
+// not_ready or stale_state as CheckReady does, with not_found if no queue matches, and
 // with unauthorized if no customer has the key.
-func (d *Desk) Resolve(call *Call) (*Target, error) {
-	if err := Ready(d.log); err != nil {
+func (h *Handler) Resolve(call *Call) (*Target, error) {
+	if err := CheckReady(h.log); err != nil {
 		return nil, withRetryAfter(failure.From(err))
 	}
-	index := d.cache.Get(d.log.State())
+	index := h.cache.Get(h.log.State())
 	queue, id, ok := index.Queue(call.Host, call.Path)
 	if !ok {
 		return nil, failure.New(failure.NotFound, "no queue is declared at %s%s", call.Host, call.Path)
@@ -103,15 +105,15 @@
 	return target, nil
 }
 
-// Refused logs and counts a call that was refused before its workflow was proposed,
+// LogRefusal logs and counts a call that was refused before its workflow was proposed,
 // with the workflow id from the end of its path. Without this log line a refused
 // call could not be distinguished from one that never arrived.
-func (d *Desk) Refused(call *Call, err error) {
+func (h *Handler) LogRefusal(call *Call, err error) {
 	f := failure.From(err)
 	refused.Add(1)
-	d.logger.WithFields(logrus.Fields{
+	h.logger.WithFields(logrus.Fields{
 		"workflow": call.Path[strings.LastIndexByte(call.Path, '/')+1:], "host": call.Host, "path": call.Path,
-		"code": f.Code, "not_run": f.NotRun, "detail": f.Error(), "index": d.log.State().Index(),
+		"code": f.Code, "not_run": f.NotRun, "detail": f.Error(), "index": h.log.State().Index(),
 	}).Warn("call refused")
 }
 
@@ -122,17 +124,17 @@
 
 func (c *Call) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	timeout := maxCallTimeout
-	if c.Patience > 0 {
-		timeout = min(timeout, max(c.Patience-answerMargin, answerMargin))
+	if c.Timeout > 0 {
+		timeout = min(timeout, max(c.Timeout-answerMargin, answerMargin))
 	}
 	return context.WithTimeout(ctx, timeout)
 }
 
 // Submit commits a workflow. The error says whether the workflow was certainly not
 // accepted; if the outcome is unknown, the caller can resend it under the same id.
-func (d *Desk) Submit(ctx context.Context, call *Call, target *Target, workflow *controlpb.Workflow) error {
+func (h *Handler) Submit(ctx context.Context, call *Call, target *Target, workflow *controlpb.Workflow) error {
 	if err := Check(workflow); err != nil {
-		d.Refused(call, err)
+		h.LogRefusal(call, err)
 		return err
 	}
 	workflow.Id = target.ID
@@ -147,8 +149,8 @@
 	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
 	began := time.Now()
-	result, err := d.propose(ctx, &controlpb.Command{Op: &controlpb.Command_SubmitWorkflow{SubmitWorkflow: &controlpb.SubmitWorkflow{Workflow: workflow}}})
-	entry := d.logger.WithFields(logrus.Fields{"workflow": target.ID, "queue": target.Queue.Name, "customer": target.Customer, "revision": target.Revision, "took_ms": time.Since(began).Milliseconds()})
+	result, err := h.propose(ctx, &controlpb.Command{Op: &controlpb.Command_SubmitWorkflow{SubmitWorkflow: &controlpb.SubmitWorkflow{Workflow: workflow}}})
+	entry := h.logger.WithFields(logrus.Fields{"workflow": target.ID, "queue": target.Queue.Name, "customer": target.Customer, "revision": target.Revision, "took_ms": time.Since(began).Milliseconds()})
 	if err != nil {
 		refused.Add(1)
 		f := failure.From(err)
@@ -162,11 +164,11 @@
 }
 
 // Cancel commits the cancellation of a workflow.
-func (d *Desk) Cancel(ctx context.Context, call *Call, target *Target) error {
+func (h *Handler) Cancel(ctx context.Context, call *Call, target *Target) error {
 	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
-	result, err := d.propose(ctx, &controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: target.ID, Queue: target.Queue.Name}}})
-	entry := d.logger.WithFields(logrus.Fields{"workflow": target.ID, "queue": target.Queue.Name})
+	result, err := h.propose(ctx, &controlpb.Command{Op: &controlpb.Command_CancelWorkflow{CancelWorkflow: &controlpb.CancelWorkflow{Id: target.ID, Queue: target.Queue.Name}}})
+	entry := h.logger.WithFields(logrus.Fields{"workflow": target.ID, "queue": target.Queue.Name})
 	if err != nil {
 		entry.WithField("code", failure.From(err).Code).Warn("workflow not cancelled")
 		return err
@@ -176,8 +178,8 @@
 	return nil
 }
 
-func (d *Desk) propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
-	result, err := d.log.Propose(ctx, command)
+func (h *Handler) propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error) {
+	result, err := h.log.Propose(ctx, command)
 	if err != nil {
 		return nil, err
 	}
@@ -191,29 +193,29 @@
 // state may just have been accepted by another instance, so the state is first
 // brought up to date with the log. It fails with answer_gone if there is no such
 // workflow.
-func (d *Desk) Status(ctx context.Context, call *Call, target *Target) (controlpb.WorkflowState, error) {
+func (h *Handler) Status(ctx context.Context, call *Call, target *Target) (controlpb.WorkflowState, error) {
 	began := time.Now()
-	if w, ok := findWorkflow(d.log.State(), target); ok {
+	if w, ok := findWorkflow(h.log.State(), target); ok {
 		return w.State, nil
 	}
 	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
-	err := control.Read(ctx, d.log)
-	state := d.log.State()
+	err := control.Read(ctx, h.log)
+	state := h.log.State()
 	if err != nil {
-		return 0, d.statusError(target, state, began, withRetryAfter(failure.From(err)))
+		return 0, h.statusError(target, state, began, withRetryAfter(failure.From(err)))
 	}
 	if w, ok := findWorkflow(state, target); ok {
 		return w.State, nil
 	}
-	return 0, d.statusError(target, state, began, failure.New(failure.AnswerGone, "no workflow %s", target.ID))
+	return 0, h.statusError(target, state, began, failure.New(failure.AnswerGone, "no workflow %s", target.ID))
 }
 
 // statusError logs and counts a failed status call and returns its error. Without
 // this log line the call could not be distinguished from one that never arrived.
-func (d *Desk) statusError(target *Target, state *store.State, began time.Time, f *failure.Error) *failure.Error {
+func (h *Handler) statusError(target *Target, state *store.State, began time.Time, f *failure.Error) *failure.Error {
 	refused.Add(1)
-	d.logger.WithFields(logrus.Fields{
+	h.logger.WithFields(logrus.Fields{
 		"workflow": target.ID, "queue": target.Queue.Name, "customer": target.Customer,
 		"code": f.Code, "not_run": f.NotRun, "detail": f.Error(),
 		"index": state.Index(), "took_ms": time.Since(began).Milliseconds(),
@@ -227,4 +229,4 @@
 }
 
 // Pending returns the number of the queue's workflows of which no task has started.
-func (d *Desk) Pending(target *Target) int { return d.log.State().Pending(target.Queue.Name) }
+func (h *Handler) Pending(target *Target) int { return h.log.State().Pending(target.Queue.Name) }
