--- a/internal/coordination/recurrence/recurrence.go
+++ b/internal/coordination/recurrence/recurrence.go
@@ -21,8 +21,8 @@
 	return due
 }
 
-// Awaited reports whether any open workflow has occurrences that have not started.
-func Awaited(state *store.State) bool {
+// HasPending reports whether any open workflow has occurrences that have not started.
+func HasPending(state *store.State) bool {
 	for _, w := range state.OpenWorkflows() {
 		if w.RepetitionsStarted < w.Repetitions {
 			return true
--- a/internal/coordination/recurrence/recurrence_test.go
+++ b/internal/coordination/recurrence/recurrence_test.go
@@ -44,6 +44,6 @@
 		})
 	}
 	is := is.New(t)
-	is.True(Awaited(recurring(unchanged)))
-	is.True(!Awaited(recurring(func(w *controlpb.Workflow) { w.RepetitionsStarted = 3 })))
+	is.True(HasPending(recurring(unchanged)))
+	is.True(!HasPending(recurring(func(w *controlpb.Workflow) { w.RepetitionsStarted = 3 })))
 }
