--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -7,20 +7,22 @@
 	"slices"
 )
 
-// leaseAnnouncements is how many announcements a lease must outlast: with fewer,
-// one lost message ends a healthy task.
-const leaseAnnouncements = 3
+// minAnnouncementsPerLease is the smallest number of announcement intervals that a
+// lease must cover: with fewer, one lost message ends a healthy task.
+const minAnnouncementsPerLease = 3
 
-// namePattern keeps names of instances printable in tables, logs and paths.
+// namePattern restricts instance names to characters that are safe in tables, logs
+// and paths.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// check looks at values together, after each was read by itself.
+// check validates rules that involve several values or the file system, after each
+// value has been parsed.
 func (r *reader) check(s *Settings) {
 	r.checkInstance(s)
 	r.checkVoters(s)
 	r.checkTokens(s)
-	if s.Upstreams.Lease < leaseAnnouncements*s.Upstreams.AnnounceEvery {
-		r.problem("upstreams", "lease", "shorter than %d announcements", leaseAnnouncements)
+	if s.Upstreams.Lease < minAnnouncementsPerLease*s.Upstreams.AnnounceEvery {
+		r.addProblem("upstreams", "lease", "shorter than %d announcement intervals", minAnnouncementsPerLease)
 	}
 	r.checkFiles("tls", map[string]string{"certificate": s.TLS.Certificate, "key": s.TLS.Key})
 	r.checkFiles("peers_tls", map[string]string{
@@ -32,73 +34,74 @@
 
 func (r *reader) checkInstance(s *Settings) {
 	if s.Instance.Name != "" && !namePattern.MatchString(s.Instance.Name) {
-		r.problem("instance", "name", "%q is not letters, digits, '.', '_' and '-'", s.Instance.Name)
+		r.addProblem("instance", "name", "%q is not 1 to 63 letters, digits, '.', '_' and '-' that begin with a letter or digit", s.Instance.Name)
 	}
 	if _, ok := s.Peers[s.Instance.Name]; s.Instance.Name != "" && !ok {
-		r.problem("peers", s.Instance.Name, "this instance is missing")
+		r.addProblem("peers", s.Instance.Name, "this instance is missing")
 	}
 	if s.Instance.DataFolder == "" {
 		return
 	}
 	info, err := os.Stat(s.Instance.DataFolder)
 	if err != nil || !info.IsDir() {
-		r.problem("instance", "data_folder", "%s is not a folder", s.Instance.DataFolder)
+		r.addProblem("instance", "data_folder", "%s is not a folder", s.Instance.DataFolder)
 	}
 }
 
 func (r *reader) checkVoters(s *Settings) {
 	if len(s.Control.Voters) == 0 {
-		r.problem("control", "voters", "missing")
+		r.addProblem("control", "voters", "missing")
 	}
 	for i, voter := range s.Control.Voters {
 		if _, ok := s.Peers[voter]; !ok {
-			r.problem("control", "voters", "%q is not among [peers]", voter)
+			r.addProblem("control", "voters", "%q is not among [peers]", voter)
 		}
 		if slices.Contains(s.Control.Voters[:i], voter) {
-			r.problem("control", "voters", "%q stands twice", voter)
+			r.addProblem("control", "voters", "%q is listed more than once", voter)
 		}
 	}
 	if slices.Contains(s.Control.Voters, s.Instance.Name) && s.Instance.DataFolder == "" {
-		r.problem("instance", "data_folder", "missing, and this instance is a voter")
+		r.addProblem("instance", "data_folder", "missing, and this instance is a voter")
 	}
 }
 
-// checkTokens refuses a token that two names share: its bearer would be one of
-// them by chance.
+// checkTokens rejects a token hash that two names share: a request with that token
+// could be attributed to either of them.
 func (r *reader) checkTokens(s *Settings) {
-	r.checkShared("customers", s.Customers, s.Customers)
-	r.checkShared("operators", s.Operators, s.Operators)
-	r.checkShared("customers", s.Customers, s.Operators)
+	r.checkDuplicateTokens("customers", s.Customers, s.Customers)
+	r.checkDuplicateTokens("operators", s.Operators, s.Operators)
+	r.checkDuplicateTokens("customers", s.Customers, s.Operators)
 }
 
-func (r *reader) checkShared(section string, hashes, others map[string][]byte) {
+func (r *reader) checkDuplicateTokens(section string, hashes, others map[string][]byte) {
 	for name, hash := range hashes {
 		for other, otherHash := range others {
 			if name != other && bytes.Equal(hash, otherHash) {
-				r.problem(section, name, "has the same token as %q", other)
+				r.addProblem(section, name, "has the same token as %q", other)
 			}
 		}
 	}
 }
 
-// checkFiles wants all of the files or none, each readable.
+// checkFiles requires that either all of the files are configured and readable or
+// none is configured.
 func (r *reader) checkFiles(section string, files map[string]string) {
-	given := 0
+	configured := 0
 	for _, path := range files {
 		if path != "" {
-			given++
+			configured++
 		}
 	}
-	if given == 0 {
+	if configured == 0 {
 		return
 	}
 	for key, path := range files {
 		if path == "" {
-			r.problem(section, key, "missing; the keys of this section are set together")
+			r.addProblem(section, key, "missing; the keys of this section are set together")
 			continue
 		}
 		if _, err := os.ReadFile(path); err != nil {
-			r.problem(section, key, "%v", err)
+			r.addProblem(section, key, "%v", err)
 		}
 	}
 }
--- a/internal/settings/reader.go
+++ b/internal/settings/reader.go
@@ -13,27 +13,27 @@
 	"pinewinch.example/pinewinch/internal/protocol/inifile"
 )
 
-// reader takes values out of the sections and gathers what is wrong with them.
+// reader parses values from the sections and collects the problems found.
 type reader struct {
 	name     string
 	sections map[string]inifile.Section
-	// known lists every key that the code asks for, by section.
-	known    map[string]map[string]bool
-	problems Problems
+	// knownKeys holds every key that the code reads, by section.
+	knownKeys map[string]map[string]bool
+	problems  Problems
 }
 
-// freeSections hold names that the operator chooses.
-var freeSections = map[string]bool{"peers": true, "customers": true, "operators": true}
+// operatorNamedSections are the sections whose keys are names chosen by the operator.
+var operatorNamedSections = map[string]bool{"peers": true, "customers": true, "operators": true}
 
 func newReader(name string, sections []inifile.Section, problems Problems) *reader {
 	r := &reader{
-		name:     name,
-		sections: map[string]inifile.Section{},
-		known:    map[string]map[string]bool{},
-		problems: problems,
+		name:      name,
+		sections:  map[string]inifile.Section{},
+		knownKeys: map[string]map[string]bool{},
+		problems:  problems,
 	}
 	for _, section := range sections {
-		if _, twice := r.sections[section.Header]; twice {
+		if _, duplicate := r.sections[section.Header]; duplicate {
 			r.problems = append(r.problems, Problem{File: name, Line: section.Line, Section: section.Header, Reason: "the section stands twice"})
 			continue
 		}
@@ -42,18 +42,18 @@
 	return r
 }
 
-func (r *reader) problem(section, key, format string, args ...any) {
+func (r *reader) addProblem(section, key, format string, args ...any) {
 	problem := Problem{File: r.name, Section: section, Key: key, Reason: fmt.Sprintf(format, args...)}
 	if found, ok := r.sections[section]; ok {
 		problem.Line = found.Line
-		if at := r.find(section, key); at != nil {
+		if at := r.findKey(section, key); at != nil {
 			problem.Line = at.Line
 		}
 	}
 	r.problems = append(r.problems, problem)
 }
 
-func (r *reader) find(section, key string) *inifile.Key {
+func (r *reader) findKey(section, key string) *inifile.Key {
 	keys := r.sections[section].Keys
 	at := slices.IndexFunc(keys, func(k inifile.Key) bool { return k.Name == key })
 	if at < 0 {
@@ -63,11 +63,11 @@
 }
 
 func (r *reader) text(section, key, fallback string) string {
-	if r.known[section] == nil {
-		r.known[section] = map[string]bool{}
+	if r.knownKeys[section] == nil {
+		r.knownKeys[section] = map[string]bool{}
 	}
-	r.known[section][key] = true
-	if found := r.find(section, key); found != nil && found.Value != "" {
+	r.knownKeys[section][key] = true
+	if found := r.findKey(section, key); found != nil && found.Value != "" {
 		return found.Value
 	}
 	return fallback
@@ -76,17 +76,17 @@
 func (r *reader) required(section, key string) string {
 	value := r.text(section, key, "")
 	if value == "" {
-		r.problem(section, key, "missing")
+		r.addProblem(section, key, "missing")
 	}
 	return value
 }
 
-func (r *reader) choice(section, key, fallback string, others ...string) string {
+func (r *reader) enum(section, key, fallback string, others ...string) string {
 	value := r.text(section, key, fallback)
 	if value == fallback || slices.Contains(others, value) {
 		return value
 	}
-	r.problem(section, key, "%q is not %s or %s", value, fallback, strings.Join(others, " or "))
+	r.addProblem(section, key, "%q is not %s or %s", value, fallback, strings.Join(others, " or "))
 	return fallback
 }
 
@@ -101,7 +101,7 @@
 func (r *reader) parseAddress(section, key, value string) netip.AddrPort {
 	address, err := netip.ParseAddrPort(value)
 	if err != nil || address.Port() == 0 {
-		r.problem(section, key, "%q is not an IP number and a port", value)
+		r.addProblem(section, key, "%q is not an IP number and a port", value)
 	}
 	return address
 }
@@ -113,20 +113,20 @@
 	}
 	d, err := time.ParseDuration(value)
 	if err != nil || d <= 0 {
-		r.problem(section, key, "%q is not a duration such as 500ms or 10s", value)
+		r.addProblem(section, key, "%q is not a duration such as 500ms or 10s", value)
 		return fallback
 	}
 	return d
 }
 
-func (r *reader) number(section, key string, fallback int) int {
+func (r *reader) positiveInt(section, key string, fallback int) int {
 	value := r.text(section, key, "")
 	if value == "" {
 		return fallback
 	}
 	n, err := strconv.Atoi(value)
 	if err != nil || n <= 0 {
-		r.problem(section, key, "%q is not a whole number above 0", value)
+		r.addProblem(section, key, "%q is not a whole number above 0", value)
 		return fallback
 	}
 	return n
@@ -150,10 +150,11 @@
 	return peers
 }
 
-// tokenPrefix names the hash of a token, so that another can follow it.
+// tokenPrefix identifies the hash algorithm of a token, so that another algorithm
+// can be added later.
 const tokenPrefix = "sha256:"
 
-// tokens reads a section of names and the hashes of their tokens.
+// tokens reads a section that maps names to token hashes.
 func (r *reader) tokens(section string) map[string][]byte {
 	tokens := map[string][]byte{}
 	for _, key := range r.sections[section].Keys {
@@ -172,13 +173,13 @@
 	return r.parseToken(section, key, value)
 }
 
-// parseToken never repeats the value: an operator may have put the token itself
-// there, and the problem goes to a log.
+// parseToken leaves the value out of the problem it reports: an operator may have
+// written the token itself instead of its hash, and problems are logged.
 func (r *reader) parseToken(section, key, value string) []byte {
 	text, ok := strings.CutPrefix(value, tokenPrefix)
 	hash, err := hex.DecodeString(text)
 	if !ok || err != nil || len(hash) != 32 {
-		r.problem(section, key, "not sha256: and 64 hex digits")
+		r.addProblem(section, key, "not sha256: and 64 hex digits")
 		return nil
 	}
 	return hash
@@ -186,23 +187,23 @@
 
 func (r *reader) rejectUnknown() {
 	for name, section := range r.sections {
-		if freeSections[name] {
+		if operatorNamedSections[name] {
 			continue
 		}
-		if r.known[name] == nil {
-			r.problem(name, "", "unknown section")
+		if r.knownKeys[name] == nil {
+			r.addProblem(name, "", "unknown section")
 			continue
 		}
 		for _, key := range section.Keys {
-			if !r.known[name][key.Name] {
-				r.problem(name, key.Name, "unknown key")
+			if !r.knownKeys[name][key.Name] {
+				r.addProblem(name, key.Name, "unknown key")
 			}
 		}
 	}
 }
 
-// sorted lists the problems in the order of the file; those without a line last.
-func (r *reader) sorted() Problems {
+// sortedProblems returns the problems in file order, those without a line last.
+func (r *reader) sortedProblems() Problems {
 	sort.Slice(r.problems, func(i, j int) bool {
 		a, b := r.problems[i], r.problems[j]
 		if a.Line != b.Line {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the INI settings of one instance and checks all of
-// them at start: every problem is reported in one go with file, section, key
-// and reason.
+// Package settings reads the INI settings of one instance and validates them at
+// startup. All problems are reported together, each with file, section, key and
+// reason.
 package settings
 
 import (
@@ -12,7 +12,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/inifile"
 )
 
-// Settings of one instance.
+// Settings holds the settings of one instance.
 type Settings struct {
 	Instance  Instance
 	Peers     map[string]netip.AddrPort
@@ -23,73 +23,78 @@
 	Log       Log
 	TLS       TLS
 	PeersTLS  PeersTLS
-	// Leased is nil where workers renew leases by their announcements.
+	// Leased is nil if workers renew their leases by announcements.
 	Leased *Leased
 	// Customers and Operators map a name to the SHA-256 of its token.
 	Customers map[string][]byte
 	Operators map[string][]byte
 }
 
-// Instance names this process and its addresses.
+// Instance holds the name, the addresses and the resource limits of this process.
 type Instance struct {
 	Name       string
 	DataCentre string
 	ListenHTTP netip.AddrPort
 	ListenPeer netip.AddrPort
-	// DataFolder makes the instance a control replica; empty for none.
+	// DataFolder is where a control replica stores its data; empty if the instance
+	// is not a replica.
 	DataFolder string
-	// Descriptors is how many files and connections the process may hold; 0 where only
-	// the kernel says.
+	// Descriptors is the maximum number of open files and connections of the process;
+	// 0 leaves only the kernel's limit.
 	Descriptors int
 }
 
 // Control configures the replicated log.
 type Control struct {
-	// Voters are the instances that form the first quorum.
+	// Voters are the instances of the initial voter configuration.
 	Voters []string
-	// Seeds are instances to ask for the log where nothing else is known; the
-	// voters where there are none.
+	// Seeds are the instances to contact for the log when no other is known; if
+	// empty, the voters are used.
 	Seeds []string
-	// Tolerated is how many replicas may be lost at once; replicas join by
-	// themselves until there are enough for that. 0 leaves it at the voters.
+	// Tolerated is the number of simultaneous replica failures to tolerate. Replicas
+	// are added automatically until there are 2*Tolerated+1 voters; 0 keeps the
+	// number of Voters.
 	Tolerated int
-	// FreshnessBound is the oldest control state on which work is admitted.
+	// FreshnessBound is the maximum age of the control state on which work is admitted.
 	FreshnessBound time.Duration
-	// ElectionTimeout is the shortest time without a leader's word.
+	// ElectionTimeout is the minimum time without a message from a leader before a
+	// replica starts an election.
 	ElectionTimeout time.Duration
-	// AutomaticRepair lets the leader replace a lost voter on its own.
+	// AutomaticRepair lets the leader replace a lost voter without an operator.
 	AutomaticRepair bool
-	// RepairAfter is how long a voter may be silent before it is replaced, while
-	// too little is known of how long its silences last.
+	// RepairAfter is the time since a voter's last message after which it is replaced,
+	// while too little is known of how long outages last.
 	RepairAfter time.Duration
 }
 
-// Upstreams configures what workers and minions are told.
+// Upstreams configures the announcements, leases and authentication of workers and
+// minions.
 type Upstreams struct {
-	// AnnounceEvery is how often an upstream announces itself.
+	// AnnounceEvery is the interval between announcements of an upstream.
 	AnnounceEvery time.Duration
-	// Lease is how long a worker may run a task without a renewal.
+	// Lease is how long a worker may run a task without renewing its lease.
 	Lease time.Duration
-	// Token is the SHA-256 of what upstreams present; nil lets any announce.
+	// Token is the SHA-256 of the token that upstreams present; nil accepts
+	// announcements without a token.
 	Token []byte
 }
 
-// Requests bounds the request path.
+// Requests holds the limits of the request path.
 type Requests struct {
 	MaxBodyBytes int64
 	QueueLength  int
-	// KeepAnswers is how long an answer can be fetched again.
+	// KeepAnswers is how long an answer is retained so that it can be fetched again.
 	KeepAnswers time.Duration
-	// KeepAnswersBytes bounds the answers that one instance keeps.
+	// KeepAnswersBytes limits the total size of the answers that an instance retains.
 	KeepAnswersBytes int64
 }
 
-// Stop bounds a graceful stop.
+// Stop holds the durations of a graceful shutdown.
 type Stop struct {
-	// Notice is how long the instance still serves after it says that it is not
-	// ready: longer than the balancer takes to see it.
+	// Notice is how long the instance continues to serve after its readiness check
+	// fails. It must be longer than a load balancer takes to detect that.
 	Notice time.Duration
-	// Grace is how long requests in flight may take to finish.
+	// Grace is how long requests in flight may take to complete.
 	Grace time.Duration
 }
 
@@ -97,23 +102,24 @@
 type Log struct {
 	Level  string
 	Format string
-	// Standard sends lines to standard output in place of standard error.
+	// Standard writes log lines to standard output instead of standard error.
 	Standard bool
 }
 
-// Leased is set where workers' leases are renewed by the leader and callers submit
-// workflows to queues. An address that is zero is not served.
+// Leased configures the mode in which the leader renews workers' leases and callers
+// submit workflows to queues. A zero address is not served.
 type Leased struct {
 	Callers   netip.AddrPort
 	Readiness netip.AddrPort
 	Control   netip.AddrPort
-	// Metrics serves counters and histograms as text.
+	// Metrics is the address that serves counters and histograms as text.
 	Metrics netip.AddrPort
-	// AnnounceEvery is how often a worker announces itself.
+	// AnnounceEvery is the interval between announcements of a worker.
 	AnnounceEvery time.Duration
 }
 
-// Contacts are the instances that are known from the start.
+// Contacts returns the instances to contact at startup: Seeds, or Voters if there
+// are no seeds.
 func (c *Control) Contacts() []string {
 	if len(c.Seeds) > 0 {
 		return c.Seeds
@@ -121,7 +127,7 @@
 	return c.Voters
 }
 
-// WantedVoters is how many replicas shall vote.
+// WantedVoters returns the target number of voters.
 func (c *Control) WantedVoters() int {
 	if c.Tolerated > 0 {
 		return 2*c.Tolerated + 1
@@ -129,28 +135,28 @@
 	return len(c.Voters)
 }
 
-// TLS names the files of the certificate for HTTP; empty for plain HTTP.
+// TLS holds the paths of the certificate and key for HTTPS; both empty for plain HTTP.
 type TLS struct {
 	Certificate string
 	Key         string
 }
 
-// PeersTLS names the files for the links between instances: each shows its
-// certificate and accepts only those that the authority signed. Empty for plain
-// TCP.
+// PeersTLS holds the paths of the files for mutual TLS between instances: each
+// presents its certificate and accepts only certificates signed by the authority.
+// All are empty for plain TCP.
 type PeersTLS struct {
 	Certificate string
 	Key         string
 	Authority   string
 }
 
-// Problem is one thing wrong with the settings.
+// Problem is one error in the settings.
 type Problem = inifile.Problem
 
-// Problems is every problem found in one go.
+// Problems is the list of all problems of a settings file.
 type Problems = inifile.Problems
 
-// Load reads and checks a settings file.
+// Load reads and validates a settings file; its errors have code BadSettings.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -160,7 +166,8 @@
 	return Parse(path, text)
 }
 
-// Parse checks the text of a settings file; name stands for it in problems.
+// Parse parses and validates the text of a settings file. name is the file name
+// shown in problems. Its errors have code BadSettings and wrap Problems.
 func Parse(name string, text []byte) (*Settings, error) {
 	sections, problems := inifile.Parse(name, text)
 	r := newReader(name, sections, problems)
@@ -168,7 +175,7 @@
 	r.check(s)
 	r.rejectUnknown()
 	if len(r.problems) > 0 {
-		return nil, failure.Wrap(failure.BadSettings, r.sorted(), "%d problems", len(r.problems))
+		return nil, failure.Wrap(failure.BadSettings, r.sortedProblems(), "%d problems", len(r.problems))
 	}
 	return s, nil
 }
@@ -187,7 +194,7 @@
 			Voters:          r.list("control", "voters"),
 			FreshnessBound:  r.duration("control", "freshness_bound", 3*time.Second),
 			ElectionTimeout: r.duration("control", "election_timeout", 400*time.Millisecond),
-			AutomaticRepair: r.choice("control", "repair", "manual", "automatic") == "automatic",
+			AutomaticRepair: r.enum("control", "repair", "manual", "automatic") == "automatic",
 			RepairAfter:     r.duration("control", "repair_after", 10*time.Minute),
 		},
 		Upstreams: Upstreams{
@@ -196,18 +203,18 @@
 			Token:         r.token("upstreams", "token"),
 		},
 		Requests: Requests{
-			MaxBodyBytes:     int64(r.number("requests", "max_body_bytes", 8<<20)),
-			QueueLength:      r.number("requests", "queue_length", 1024),
+			MaxBodyBytes:     int64(r.positiveInt("requests", "max_body_bytes", 8<<20)),
+			QueueLength:      r.positiveInt("requests", "queue_length", 1024),
 			KeepAnswers:      r.duration("requests", "keep_answers", 10*time.Minute),
-			KeepAnswersBytes: int64(r.number("requests", "keep_answers_bytes", 32<<20)),
+			KeepAnswersBytes: int64(r.positiveInt("requests", "keep_answers_bytes", 32<<20)),
 		},
 		Stop: Stop{
 			Notice: r.duration("stop", "notice", 2*time.Second),
 			Grace:  r.duration("stop", "grace", 30*time.Second),
 		},
 		Log: Log{
-			Level:  r.choice("log", "level", "info", "panic", "fatal", "error", "warning", "debug", "trace"),
-			Format: r.choice("log", "format", "text", "json"),
+			Level:  r.enum("log", "level", "info", "panic", "fatal", "error", "warning", "debug", "trace"),
+			Format: r.enum("log", "format", "text", "json"),
 		},
 		TLS: TLS{Certificate: r.text("tls", "certificate", ""), Key: r.text("tls", "key", "")},
 		PeersTLS: PeersTLS{
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -18,7 +18,7 @@
 	hashB = "sha256:bbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbbb"
 )
 
-func good(folder string) string {
+func validSettings(folder string) string {
 	return `[instance]
 name = i1
 data_centre = bangor
@@ -37,9 +37,9 @@
 `
 }
 
-func TestParseGood(t *testing.T) {
+func TestParseValidSettings(t *testing.T) {
 	is := is.New(t)
-	s, err := Parse("f", []byte(good(t.TempDir())))
+	s, err := Parse("f", []byte(validSettings(t.TempDir())))
 	is.NoErr(err)
 	is.Equal(s.Instance.Name, "i1")
 	is.Equal(s.Peers["i2"].Port(), uint16(7200))
@@ -48,8 +48,8 @@
 	is.Equal(len(s.Customers["crews"]), 32)
 }
 
-// Each case changes one thing of settings that are good, and names every
-// problem that must be reported, with line, section, key and reason.
+// Each case changes one part of valid settings and lists every problem that must
+// be reported, with line, section, key and reason.
 func TestParseProblems(t *testing.T) {
 	tests := map[string]struct{ old, new, want string }{
 		"host name":        {"10.0.0.1:7100", "entry1:7100", `f:4: [instance] listen_http: "entry1:7100" is not an IP number and a port`},
@@ -63,13 +63,13 @@
 		"section twice":    {"[customers]", "[control]\n[customers]", `f:12: [control]: the section stands twice`},
 		"key twice":        {"voters = i1", "voters = i1\nvoters = i2", `f:12: [control] voters: set more than once`},
 		"unknown voter":    {"voters = i1", "voters = i1, i9", `f:11: [control] voters: "i9" is not among [peers]`},
-		"voter twice":      {"voters = i1", "voters = i1, i1", `f:11: [control] voters: "i1" stands twice`},
+		"voter twice":      {"voters = i1", "voters = i1, i1", `f:11: [control] voters: "i1" is listed more than once`},
 		"no voters":        {"voters = i1", "", `f:10: [control] voters: missing`},
 		"not among peers":  {"i1 = 10.0.0.1:7200\n", "", `f:7: [peers] i1: this instance is missing` + "\n" + `f:10: [control] voters: "i1" is not among [peers]`},
 		"bad duration":     {"[customers]", "[stop]\ngrace = 30\n[customers]", `f:13: [stop] grace: "30" is not a duration such as 500ms or 10s`},
 		"bad number":       {"[customers]", "[requests]\nqueue_length = many\n[customers]", `f:13: [requests] queue_length: "many" is not a whole number above 0`},
 		"bad log":          {"[customers]", "[log]\nformat = xml\nlevel = loud\n[customers]", `f:13: [log] format: "xml" is not text or json` + "\n" + `f:14: [log] level: "loud" is not info or panic or fatal or error or warning or debug or trace`},
-		"short lease":      {"[customers]", "[upstreams]\nlease = 2s\n[customers]", `f:13: [upstreams] lease: shorter than 3 announcements`},
+		"short lease":      {"[customers]", "[upstreams]\nlease = 2s\n[customers]", `f:13: [upstreams] lease: shorter than 3 announcement intervals`},
 		"plain token":      {hashA, "crews-secret", `f:13: [customers] crews: not sha256: and 64 hex digits`},
 		"shared token":     {hashB, hashA, `f:13: [customers] crews: has the same token as "ops"`},
 		"half of TLS":      {"[customers]", "[tls]\nkey = f.key\n[customers]", `f:12: [tls] certificate: missing; the keys of this section are set together` + "\n" + `f:13: [tls] key: open f.key: no such file or directory`},
@@ -78,8 +78,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			folder := t.TempDir()
-			is.True(strings.Contains(good(folder), test.old))
-			_, err := Parse("f", []byte(strings.Replace(good(folder), test.old, test.new, 1)))
+			is.True(strings.Contains(validSettings(folder), test.old))
+			_, err := Parse("f", []byte(strings.Replace(validSettings(folder), test.old, test.new, 1)))
 			is.True(failure.Is(err, failure.BadSettings))
 			var problems Problems
 			is.True(errors.As(err, &problems))
@@ -88,9 +88,9 @@
 	}
 }
 
-// Whatever the file holds, checking it ends, with settings or with problems.
+// For any input, Parse returns either settings or an error, never both or neither.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good("")))
+	f.Add([]byte(validSettings("")))
 	f.Add([]byte("[instance]\nname = \"\"\"\n[peers]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := Parse("f", text)
@@ -100,7 +100,7 @@
 	})
 }
 
-// The page for operators lists every key that the code reads, and no other.
+// docs/SETTINGS.md must have a row for every key that the code reads, and no others.
 func TestKeysAreDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
@@ -108,7 +108,7 @@
 	r := newReader("f", nil, nil)
 	r.settings()
 	keys := 0
-	for section, known := range r.known {
+	for section, known := range r.knownKeys {
 		for key := range known {
 			keys++
 			if !strings.Contains(string(page), "\n| `"+section+"."+key+"` |") {
@@ -120,8 +120,9 @@
 	is.Equal(len(rows), keys)
 }
 
-// The page's example is one that the program takes, but for its folder.
-func TestExampleOfThePage(t *testing.T) {
+// The example in docs/SETTINGS.md must parse, with its data folder replaced by an
+// existing one.
+func TestDocumentedExampleParses(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	is.NoErr(err)
