--- a/internal/protocol/api/api.go
+++ b/internal/protocol/api/api.go
@@ -1,5 +1,5 @@
-// Package api holds the JSON messages of the HTTP interfaces: callers,
-// operators, workers and minions. Paths are versioned.
+// Package api defines the paths, headers and JSON messages of the HTTP interfaces
+// for callers, operators, workers and minions. Paths are versioned.
 package api
 
 import (
@@ -25,7 +25,7 @@
 	PathReady        = "/readyz"
 )
 
-// ErrorBody is the body of every answer that is an error.
+// ErrorBody is the body of every error response.
 type ErrorBody struct {
 	Code         failure.Code   `json:"code"`
 	Message      string         `json:"message"`
@@ -34,14 +34,14 @@
 	Revision     uint64         `json:"revision,omitempty"`
 }
 
-// SubmitRequest asks for one job of a declared class. The same key again gets
-// the same job.
+// SubmitRequest submits one job of a declared work class. Key is an idempotency
+// key: a repeated request with the same key returns the same job.
 type SubmitRequest struct {
 	Key       string `json:"key"`
 	WorkClass string `json:"class"`
 }
 
-// Job is a job as callers see it.
+// Job is the representation of a job for callers.
 type Job struct {
 	ID          string   `json:"id"`
 	Customer    string   `json:"customer"`
@@ -57,7 +57,7 @@
 	Failures    []string `json:"failures,omitempty"`
 }
 
-// States of a job, as Job.State names them.
+// Values of Job.State.
 const (
 	JobWaiting   = "waiting"
 	JobCompleted = "completed"
@@ -65,38 +65,38 @@
 	JobParked    = "parked"
 )
 
-// Ended tells whether the job will not run again.
+// Ended reports whether the job is in a final state.
 func (j *Job) Ended() bool {
 	return j.State == JobCompleted || j.State == JobCancelled || j.State == JobParked
 }
 
-// Declarations is the accepted declarations and their revision; items are in
-// protobuf's JSON form.
+// Declarations holds the accepted declarations, in protobuf's JSON format, and their
+// revision.
 type Declarations struct {
 	Revision uint64 `json:"revision"`
 	Items    []byte `json:"items"`
 }
 
-// ApplyRequest changes the declarations from an expected revision. Client and
-// Sequence make a resend get the first answer.
+// ApplyRequest changes the declarations if they are at the expected revision. Client
+// and Sequence make it idempotent: a resent request returns the first result.
 type ApplyRequest struct {
 	Client           string   `json:"client"`
 	Sequence         uint64   `json:"sequence"`
 	ExpectedRevision uint64   `json:"expected_revision"`
 	Set              [][]byte `json:"set,omitempty"`
 	Remove           []string `json:"remove,omitempty"`
-	// AllowInfeasible accepts classes that no known worker could run, for
-	// workers that are still to come.
+	// AllowInfeasible accepts classes that no known worker can run, for workers that
+	// have not joined yet.
 	AllowInfeasible bool `json:"allow_infeasible,omitempty"`
 }
 
-// ApplyReply says what was accepted.
+// ApplyReply is the revision and the log index of the accepted change.
 type ApplyReply struct {
 	Revision uint64 `json:"revision"`
 	Index    uint64 `json:"index"`
 }
 
-// Instance is one instance of the system as another sees it.
+// Instance is the state of one instance as another instance observes it.
 type Instance struct {
 	Name       string `json:"name"`
 	DataCentre string `json:"data_centre"`
@@ -104,20 +104,20 @@
 	Revision   uint64 `json:"revision"`
 	Ready      bool   `json:"ready"`
 	Replica    bool   `json:"replica"`
-	// LogRole is its part in the control log: leader, voter, learner or empty.
+	// LogRole is its role in the control log: leader, voter, learner or empty.
 	LogRole string `json:"log_role,omitempty"`
 	Leader  bool   `json:"leader"`
 }
 
-// ChangeMembers changes who keeps the log: an instance whose replica becomes a
-// voter, one whose replica leaves, or both to replace a replica.
+// ChangeMembers changes the membership of the control log: Add is an instance whose
+// replica becomes a voter, Remove one whose replica is removed; both replace a replica.
 type ChangeMembers struct {
 	Add    string `json:"add,omitempty"`
 	Remove string `json:"remove,omitempty"`
 }
 
-// Explanation says why a job waits: the scheduler's own reason of its newest
-// pass, empty if the job does not wait.
+// Explanation is the reason why a job is waiting, from the scheduler's latest pass;
+// empty if the job is not waiting.
 type Explanation struct {
 	Job    Job    `json:"job"`
 	Reason string `json:"reason,omitempty"`
--- a/internal/protocol/api/upstream.go
+++ b/internal/protocol/api/upstream.go
@@ -9,8 +9,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/peerpb"
 )
 
-// Paths that an instance serves to upstreams, and that workers and minions
-// serve to instances.
+// Paths that instances serve to upstreams, and paths that workers and minions serve
+// to instances.
 const (
 	PathAnnounceWorker = "/v1/workers/announce"
 	PathAnnounceMinion = "/v1/minions/announce"
@@ -21,7 +21,7 @@
 	PathServe          = "/v1/serve/"
 )
 
-// Headers of a request on its way to a minion and of its answer back.
+// Headers of a request to a minion and of its answer.
 const (
 	HeaderRequestID  = "Pinewinch-Request-Id"
 	HeaderDeadline   = "Pinewinch-Deadline-Ms"
@@ -30,12 +30,12 @@
 	HeaderKey        = "Idempotency-Key"
 )
 
-// AnnouncementsMissed is how many announcements an upstream may miss before it counts as
-// gone.
+// AnnouncementsMissed is the number of consecutive announcements that an upstream may
+// miss before it is considered gone.
 const AnnouncementsMissed = 3
 
-// Announcement is what a worker or minion says of itself. Incarnation grows
-// with each start of the upstream, Version with each announcement.
+// Announcement is the state that a worker or minion reports about itself. Incarnation
+// increases with each start of the upstream, Version with each announcement.
 type Announcement struct {
 	ID           string       `json:"id"`
 	Address      string       `json:"address"`
@@ -54,8 +54,8 @@
 	Tasks        []TaskReport `json:"tasks,omitempty"`
 }
 
-// TaskReport is one task as its worker sees it. A worker repeats the report of
-// an ended task until an answer to an announcement lists it as forgotten.
+// TaskReport is a worker's report of one of its tasks. The report of an ended task is
+// repeated until AnnounceReply.Forget acknowledges it.
 type TaskReport struct {
 	Job            string `json:"job"`
 	Task           uint32 `json:"task"`
@@ -67,20 +67,20 @@
 	CheckpointedMs int64  `json:"checkpointed_ms,omitempty"`
 }
 
-// WholePercent is the progress of a task whose work is done; a member of a gang may go
-// on waiting there for the others.
+// WholePercent is the progress of a task that has completed its work. A member of a
+// gang may stay at it while it waits for the other members.
 const WholePercent = 100
 
-// AnnounceReply tells an upstream when to announce next, and a worker which of
-// its tasks to keep. A renewed task may run until LeaseMs after the moment at
-// which the worker SENT the announcement that this answers; counted from the
-// receipt of the answer, a late answer would prolong a lease that the system
-// has taken to be over. A stopped task is checkpointed if it can be, and ended. A
-// task in neither list runs until its lease ends.
+// AnnounceReply tells an upstream when to announce next and a worker which of its
+// tasks to continue. A renewed task may run for LeaseMs from the time at which the
+// worker sent the announcement that this reply answers. The lease must not be counted
+// from the receipt of the reply: a late reply would extend a lease that the system
+// already considers expired. A task in Stop is checkpointed if possible, and ended. A
+// task in neither Renew nor Stop runs until its lease expires.
 //
-// TryOther asks the upstream to announce itself to another instance next time: this
-// one is cut off from the control log, so it renews nothing, and the others may not
-// hear from it of the upstream.
+// TryOther asks the upstream to send its next announcement to another instance: this
+// one is disconnected from the control log, so it renews no leases, and the other
+// instances may not receive the upstream's state from it.
 type AnnounceReply struct {
 	NextMs   int64 `json:"next_ms"`
 	LeaseMs  int64 `json:"lease_ms"`
@@ -91,7 +91,7 @@
 	Forget []TaskRef `json:"forget,omitempty"`
 }
 
-// TaskRef names one run of one task.
+// TaskRef identifies one run of one task.
 type TaskRef struct {
 	Job   string `json:"job"`
 	Task  uint32 `json:"task"`
@@ -101,11 +101,11 @@
 // TaskCommand is sent to a worker to reserve, start, throttle or stop a task.
 type TaskCommand struct {
 	TaskRef
-	// Incarnation and Announced are of the newest announcement of the worker that
-	// the sender has heard. A reserve or start is refused by another incarnation,
-	// and its lease runs from when the worker sent that announcement, so that a
-	// command which the network held back is refused. A worker that starts again
-	// ends what an earlier incarnation left before it announces itself.
+	// Incarnation and Announced are the incarnation and version of the worker's newest
+	// announcement that the sender has received. Another incarnation refuses a reserve
+	// or start command. The lease of the task counts from when the worker sent that
+	// announcement, so that a command delayed by the network is refused. A restarted
+	// worker ends the tasks of its previous incarnation before it announces itself.
 	Incarnation    int64    `json:"incarnation,omitempty"`
 	Announced      uint64   `json:"announced,omitempty"`
 	Accelerators   []uint32 `json:"accelerators,omitempty"`
@@ -114,24 +114,24 @@
 	RunTimeMs      int64    `json:"run_time_ms,omitempty"`
 	CheckpointedMs int64    `json:"checkpointed_ms,omitempty"`
 	LeaseMs        int64    `json:"lease_ms,omitempty"`
-	// Checkpoint asks for the work to be kept when a task is stopped.
+	// Checkpoint requests a checkpoint when the task is stopped.
 	Checkpoint bool `json:"checkpoint,omitempty"`
-	// Percent of its speed that a throttled task may run at, 1 to 100.
+	// Percent is the share of its full speed that a throttled task may use, 1 to 100.
 	Percent uint32 `json:"percent,omitempty"`
 }
 
-// TaskAnswer is a worker's answer to a command: the phase that the task is in
-// after it, empty where the worker knows of no such task, the work that a
-// checkpoint has kept, and which start of the worker answers.
+// TaskAnswer is a worker's answer to a command: its incarnation, the phase of the task
+// after the command (empty if the worker has no such task) and the work saved by
+// checkpoints, in milliseconds.
 type TaskAnswer struct {
 	Incarnation    int64  `json:"incarnation,omitempty"`
 	Phase          string `json:"phase,omitempty"`
 	CheckpointedMs int64  `json:"checkpointed_ms,omitempty"`
-	// Checkpoint names the newest one, where workers name them.
+	// Checkpoint is the name of the newest checkpoint; empty if workers do not name them.
 	Checkpoint string `json:"checkpoint,omitempty"`
 }
 
-// The phases of a task on the wire.
+// Phases of a task on the wire.
 const (
 	PhaseReserved  = "reserved"
 	PhaseRunning   = "running"
@@ -148,7 +148,8 @@
 	PhaseStopped:   peerpb.TaskPhase_TASK_PHASE_STOPPED,
 }
 
-// Upstream gives the soft state that an announcement stands for.
+// Upstream converts an announcement to the soft state that instances exchange; ttl is
+// how long that state is valid.
 func (a *Announcement) Upstream(kind peerpb.UpstreamKind, ttl time.Duration) *peerpb.Upstream {
 	upstream := &peerpb.Upstream{
 		Id:           a.ID,
@@ -187,12 +188,14 @@
 	}
 }
 
-// SetDeadline writes the time left for a request, so that no clock is shared.
+// SetDeadline writes the time remaining for a request. It is relative, so that the
+// clocks of sender and receiver need not agree.
 func SetDeadline(header http.Header, left time.Duration) {
 	header.Set(HeaderDeadline, strconv.FormatInt(left.Milliseconds(), 10))
 }
 
-// Deadline reads the time left for a request; ok is false where none is given.
+// Deadline reads the time remaining for a request; ok is false if the header is absent
+// or not a positive number of milliseconds.
 func Deadline(header http.Header) (left time.Duration, ok bool) {
 	text := header.Get(HeaderDeadline)
 	if text == "" {
@@ -202,42 +205,44 @@
 	return time.Duration(ms) * time.Millisecond, err == nil && ms > 0
 }
 
-// ServeCall is one request on its way to a minion.
+// ServeCall is one request to be sent to a minion.
 type ServeCall struct {
 	Service string
-	// ID identifies the request; its answer carries the same.
+	// ID identifies the request; the answer must carry the same ID.
 	ID   string
 	Body []byte
-	// Hold is the largest answer, in bytes, that is held whole. A larger one
-	// goes to Sink while it arrives; with no sink it is an error.
+	// Hold is the size in bytes of the largest answer that is buffered. A larger answer
+	// is streamed to Sink; without a sink it is an error.
 	Hold int64
 	Sink AnswerSink
-	// Dispatched, if any, is told true when a connection is about to carry the
-	// request, for from then on it may run, and false when it surely did not.
+	// Dispatched, if not nil, is called with true just before a connection carries the
+	// request, as it may run from then on, and with false when it certainly did not run.
 	Dispatched func(at bool)
-	// Late is how long after the end of the caller's wait an answer to a
-	// dispatched request is still taken.
+	// Late is how long after the caller stopped waiting the answer to a dispatched
+	// request is still accepted.
 	Late time.Duration
 }
 
-// AnswerSink takes a large answer while it arrives. Of the tries of one
-// request only the first that begins may write to it.
+// AnswerSink receives a large answer as a stream. Of all attempts of one request only
+// the first that begins may write to it.
 type AnswerSink interface {
-	// Begin announces an answer; ok is false where another try has begun.
+	// Begin starts an answer; ok is false if another attempt has begun or the sink is
+	// closed.
 	Begin(answer *Answer) (body io.Writer, ok bool)
 }
 
-// Answer is a minion's answer to one request.
+// Answer is the answer of a minion to one request.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Body is the whole answer, unless it was streamed.
+	// Body is the complete answer, unless it was streamed.
 	Body []byte
-	// Streamed tells that the body went to the request's sink as it came.
+	// Streamed reports that the body was streamed to the request's sink.
 	Streamed bool
-	// Length of a streamed answer where it is known beforehand, else -1.
+	// Length is the size of a streamed answer in bytes if it is known in advance, else -1.
 	Length int64
-	// Cut is why a streamed answer ended too early, nil for a whole one. A part
-	// has reached the caller by then, so no other minion may be tried.
+	// Cut is the reason why a streamed answer was truncated, nil for a complete one.
+	// Part of a truncated answer has already reached the caller, so the request must
+	// not be sent to another minion.
 	Cut error
 }
--- a/internal/protocol/api/workflows.go
+++ b/internal/protocol/api/workflows.go
@@ -2,36 +2,37 @@
 
 import "pinewinch.example/pinewinch/internal/protocol/controlpb"
 
-// WorkflowRequest asks for a graph of steps. The same key again gets the same
-// workflow.
+// WorkflowRequest submits a workflow, a graph of steps. Key is an idempotency key: a
+// repeated request with the same key returns the same workflow.
 type WorkflowRequest struct {
 	Key string `json:"key"`
-	// Specification is handed to every task as it is.
+	// Specification is passed unchanged to every task.
 	Specification string `json:"specification,omitempty"`
 	Steps         []Step `json:"steps"`
-	// Priority 0 goes first.
+	// Priority 0 takes precedence over higher numbers.
 	Priority uint32 `json:"priority,omitempty"`
-	// MaxAttempts is how often a task may fail by itself; 0 means once.
+	// MaxAttempts is the number of attempts of a task, counting only failures of the
+	// task itself; 0 means 1.
 	MaxAttempts uint32 `json:"max_attempts,omitempty"`
-	// SlackPercent stretches the longest chain of estimates to the objective, and
-	// TargetLatencyMs is added; 100 percent where it is 0.
+	// The latency objective is the estimated run time of the critical path multiplied
+	// by SlackPercent/100, plus TargetLatencyMs. SlackPercent 0 means 100.
 	SlackPercent    uint32 `json:"slack_percent,omitempty"`
 	TargetLatencyMs int64  `json:"target_latency_ms,omitempty"`
-	// Repetitions make the steps run that many times, the first at FirstDueMs after
-	// 1970 and then every EveryMs.
+	// Repetitions is how many times the steps run: first at FirstDueMs, in milliseconds
+	// since 1970 (Unix epoch), and then every EveryMs.
 	FirstDueMs  int64  `json:"first_due_ms,omitempty"`
 	EveryMs     int64  `json:"every_ms,omitempty"`
 	Repetitions uint32 `json:"repetitions,omitempty"`
 }
 
-// Step is a number of alike tasks.
+// Step is a number of identical tasks.
 type Step struct {
 	Count        uint32 `json:"count"`
 	CoresMilli   uint32 `json:"cores_milli,omitempty"`
 	MemoryMB     uint64 `json:"memory_mb,omitempty"`
 	Accelerators uint32 `json:"accelerators,omitempty"`
 	RunTimeMs    int64  `json:"run_time_ms,omitempty"`
-	// After numbers the earlier steps whose tasks must all have ended well.
+	// After holds the numbers of the earlier steps whose tasks must all have succeeded.
 	After          []uint32 `json:"after,omitempty"`
 	Gang           bool     `json:"gang,omitempty"`
 	TightlyCoupled bool     `json:"tightly_coupled,omitempty"`
@@ -41,21 +42,21 @@
 	SpreadLimit    uint32   `json:"spread_limit,omitempty"`
 }
 
-// Workflow is a workflow as callers see it.
+// Workflow is the representation of a workflow for callers.
 type Workflow struct {
 	ID          string `json:"id"`
 	Customer    string `json:"customer"`
 	State       string `json:"state"`
 	Repetitions uint32 `json:"repetitions,omitempty"`
-	// RepetitionsDone counts those that are whole.
+	// RepetitionsDone counts the completed repetitions.
 	RepetitionsDone uint32 `json:"repetitions_done,omitempty"`
 	SubmittedMs     int64  `json:"submitted_ms"`
 	EndedMs         int64  `json:"ended_ms,omitempty"`
-	// Jobs are those that its steps have become and that are kept.
+	// Jobs holds the jobs created from its steps that are still retained.
 	Jobs []Job `json:"jobs,omitempty"`
 }
 
-// States of a workflow, as Workflow.State names them.
+// Values of Workflow.State.
 const (
 	WorkflowQueued    = "queued"
 	WorkflowRunning   = "running"
@@ -64,12 +65,13 @@
 	WorkflowCancelled = "cancelled"
 )
 
-// Ended tells whether the workflow will change no more.
+// Ended reports whether the workflow is in a final state.
 func (w *Workflow) Ended() bool {
 	return w.State == WorkflowCompleted || w.State == WorkflowFailed || w.State == WorkflowCancelled
 }
 
-// Decode turns the request into the workflow that the log carries.
+// Decode converts the request to the workflow message of the control log and applies
+// the defaults.
 func (r *WorkflowRequest) Decode() *controlpb.Workflow {
 	w := &controlpb.Workflow{
 		Specification:    r.Specification,
