--- a/internal/protocol/declaration/declaration.go
+++ b/internal/protocol/declaration/declaration.go
@@ -1,6 +1,6 @@
-// Package declaration reads the operators' inventory and rules, kept as INI
-// files in version control, into items of the control state, and compares two
-// sets of items. A bad declaration is refused whole: nothing is half applied.
+// Package declaration parses the operators' inventory and rules, which are INI files
+// kept in version control, into items of the control state, and compares two sets of
+// items. An invalid declaration is rejected as a whole, so that none is partly applied.
 package declaration
 
 import (
@@ -16,13 +16,14 @@
 	"pinewinch.example/pinewinch/internal/protocol/inifile"
 )
 
-// Problem is one thing wrong with a declaration.
+// Problem is one error in a declaration.
 type Problem = inifile.Problem
 
-// Problems is every problem found in one go.
+// Problems is the list of all problems of a set of declarations.
 type Problems = inifile.Problems
 
-// Load reads a file, or every .ini file of a folder in name order.
+// Load reads a file, or every .ini file of a folder in name order. Its errors have
+// code BadDeclaration.
 func Load(path string) ([]*controlpb.Item, error) {
 	files, err := declarationFiles(path)
 	if err != nil {
@@ -30,7 +31,8 @@
 	}
 	p := newParser()
 	if len(files) == 0 {
-		// An empty folder would remove every declaration; a wrong path looks the same.
+		// Applying an empty folder would remove every declaration, and a wrong path
+		// cannot be told from an empty folder.
 		return nil, failure.New(failure.BadDeclaration, "no .ini file in %s", path)
 	}
 	for _, file := range files {
@@ -38,16 +40,17 @@
 		if err != nil {
 			return nil, failure.Wrap(failure.BadDeclaration, err, "read %s", file)
 		}
-		p.file(filepath.Base(file), text)
+		p.parseFile(filepath.Base(file), text)
 	}
-	return p.finish()
+	return p.checkedItems()
 }
 
-// Parse reads one declaration text; name stands for it in problems.
+// Parse parses the text of one declaration file. name is the file name shown in
+// problems. Its errors have code BadDeclaration and wrap Problems.
 func Parse(name string, text []byte) ([]*controlpb.Item, error) {
 	p := newParser()
-	p.file(name, text)
-	return p.finish()
+	p.parseFile(name, text)
+	return p.checkedItems()
 }
 
 func declarationFiles(path string) ([]string, error) {
@@ -66,22 +69,22 @@
 type parser struct {
 	items    map[string]*controlpb.Item
 	problems Problems
-	places   map[string]*sectionReader
+	readers  map[string]*sectionReader
 }
 
 func newParser() *parser {
-	return &parser{items: map[string]*controlpb.Item{}, places: map[string]*sectionReader{}}
+	return &parser{items: map[string]*controlpb.Item{}, readers: map[string]*sectionReader{}}
 }
 
-func (p *parser) file(name string, text []byte) {
+func (p *parser) parseFile(name string, text []byte) {
 	sections, problems := inifile.Parse(name, text)
 	p.problems = append(p.problems, problems...)
 	for _, section := range sections {
-		p.section(name, section)
+		p.parseSection(name, section)
 	}
 }
 
-func (p *parser) section(file string, section inifile.Section) {
+func (p *parser) parseSection(file string, section inifile.Section) {
 	s := newSectionReader(file, section)
 	kind, name, _ := strings.Cut(section.Header, " ")
 	item := s.item(kind, strings.TrimSpace(name))
@@ -90,23 +93,23 @@
 	if item == nil {
 		return
 	}
-	if earlier, twice := p.places[item.Key]; twice {
-		s.problem("", "declared before, at %s:%d", earlier.file, earlier.section.Line)
+	if earlier, duplicate := p.readers[item.Key]; duplicate {
+		s.addProblem("", "already declared at %s:%d", earlier.file, earlier.section.Line)
 		p.problems = append(p.problems, s.problems[len(s.problems)-1])
 		return
 	}
 	p.items[item.Key] = item
-	p.places[item.Key] = s
+	p.readers[item.Key] = s
 }
 
-// finish checks the items together, and gives them only if nothing is wrong.
-func (p *parser) finish() ([]*controlpb.Item, error) {
+// checkedItems validates all items together and returns them if there are no problems.
+func (p *parser) checkedItems() ([]*controlpb.Item, error) {
 	items := Sorted(p.items)
 	for _, violation := range Check(items) {
-		place := p.places[violation.Item]
-		place.problems = nil
-		place.problem(violation.Field, "%s", violation.Reason)
-		p.problems = append(p.problems, place.problems...)
+		reader := p.readers[violation.Item]
+		reader.problems = nil
+		reader.addProblem(violation.Field, "%s", violation.Reason)
+		p.problems = append(p.problems, reader.problems...)
 	}
 	if len(p.problems) > 0 {
 		sort.SliceStable(p.problems, func(i, j int) bool {
@@ -118,33 +121,33 @@
 	return items, nil
 }
 
-// The keys of items, by kind.
+// Prefixes of item keys, by kind.
 const (
 	CustomerPrefix = "customer/"
 	classPrefix    = "class/"
 	ServicePrefix  = "service/"
 	QueuePrefix    = "queue/"
 	entryPrefix    = "entry/"
-	// RulesKey is the key of the one item of rules.
+	// RulesKey is the key of the only item of kind rules.
 	RulesKey = "rules"
 )
 
-// CustomerKey is the item key of a customer.
+// CustomerKey returns the item key of a customer.
 func CustomerKey(name string) string { return CustomerPrefix + name }
 
-// ClassKey is the item key of a class of work.
+// ClassKey returns the item key of a work class.
 func ClassKey(name string) string { return classPrefix + name }
 
-// QueueKey is the key of the queue at a host and path prefix.
+// QueueKey returns the item key of the queue at a host and path prefix.
 func QueueKey(host, pathPrefix string) string { return QueuePrefix + host + pathPrefix }
 
-// ServiceKey is the item key of a service.
+// ServiceKey returns the item key of a service.
 func ServiceKey(name string) string { return ServicePrefix + name }
 
-// EntryKey is the item key of an inventory entry.
+// EntryKey returns the item key of an inventory entry.
 func EntryKey(name string) string { return entryPrefix + name }
 
-// Sorted lists items by key.
+// Sorted returns the items in the order of their keys.
 func Sorted(items map[string]*controlpb.Item) []*controlpb.Item {
 	sorted := make([]*controlpb.Item, 0, len(items))
 	for _, key := range sortedKeys(items) {
@@ -162,16 +165,16 @@
 	return keys
 }
 
-// Change is what an apply would do: only what differs crosses the network.
+// Change is the difference that an apply sends: only items that differ are sent.
 type Change struct {
 	Set    []*controlpb.Item
 	Remove []string
 }
 
-// Empty tells whether nothing differs.
+// Empty reports whether the change sets and removes nothing.
 func (c Change) Empty() bool { return len(c.Set) == 0 && len(c.Remove) == 0 }
 
-// Diff gives the change that turns the items of from into those of to.
+// Diff returns the change that turns the items of from into those of to.
 func Diff(from, to []*controlpb.Item) Change {
 	old := make(map[string]*controlpb.Item, len(from))
 	for _, item := range from {
--- a/internal/protocol/declaration/document.go
+++ b/internal/protocol/declaration/document.go
@@ -6,14 +6,14 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// CheckDocument lists what is wrong with a whole set of queues, services and
-// customers. A document with any violation is refused whole.
+// CheckDocument returns the violations of a complete set of queues, services and
+// customers. A document with any violation is rejected as a whole.
 func CheckDocument(items []*controlpb.Item) []Violation {
 	c := &checker{byKey: map[string]*controlpb.Item{}}
 	for _, item := range items {
 		c.key = item.Key
-		if _, twice := c.byKey[item.Key]; twice {
-			c.violate("", "declared twice")
+		if _, duplicate := c.byKey[item.Key]; duplicate {
+			c.addViolation("", "declared twice")
 		}
 		c.byKey[item.Key] = item
 	}
@@ -22,34 +22,35 @@
 		c.key = item.Key
 		switch body := item.Body.(type) {
 		case *controlpb.Item_Queue:
-			c.queue(body.Queue)
+			c.checkQueue(body.Queue)
 		case *controlpb.Item_Customer:
-			c.keys(body.Customer, owners)
+			c.checkAPIKeys(body.Customer, owners)
 		}
 	}
 	return c.violations
 }
 
-func (c *checker) queue(queue *controlpb.Queue) {
+func (c *checker) checkQueue(queue *controlpb.Queue) {
 	if queue.Host == "" {
-		c.violate("host", "is missing")
+		c.addViolation("host", "is missing")
 	}
 	if !strings.HasPrefix(queue.PathPrefix, "/") {
-		c.violate("path_prefix", "%q does not begin with a slash", queue.PathPrefix)
+		c.addViolation("path_prefix", "%q does not begin with a slash", queue.PathPrefix)
 	}
 	if _, ok := c.byKey[ServiceKey(queue.Service)]; !ok {
-		c.violate("service", "no such declaration: %s", ServiceKey(queue.Service))
+		c.addViolation("service", "no such declaration: %s", ServiceKey(queue.Service))
 	}
 	if queue.TimeoutMs <= 0 {
-		c.violate("timeout_ms", "must be positive")
+		c.addViolation("timeout_ms", "must be positive")
 	}
 }
 
-// keys refuses a key that two customers hold: a call with it has no owner.
-func (c *checker) keys(customer *controlpb.Customer, owners map[string]string) {
+// checkAPIKeys rejects a key that two customers share: a call with it could not be
+// attributed to one customer.
+func (c *checker) checkAPIKeys(customer *controlpb.Customer, owners map[string]string) {
 	for _, key := range customer.Keys {
 		if owner, taken := owners[key]; taken && owner != customer.Name {
-			c.violate("keys", "a key is shared with %s", CustomerKey(owner))
+			c.addViolation("keys", "a key is shared with %s", CustomerKey(owner))
 		}
 		owners[key] = customer.Name
 	}
--- a/internal/protocol/declaration/section.go
+++ b/internal/protocol/declaration/section.go
@@ -10,7 +10,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/inifile"
 )
 
-// sectionReader turns one section into an item and gathers what is wrong.
+// sectionReader converts one section to an item and collects the problems found.
 type sectionReader struct {
 	file     string
 	section  inifile.Section
@@ -27,7 +27,7 @@
 	return s
 }
 
-func (s *sectionReader) problem(key, format string, args ...any) {
+func (s *sectionReader) addProblem(key, format string, args ...any) {
 	line := s.section.Line
 	if at, ok := s.values[key]; ok {
 		line = at.Line
@@ -37,18 +37,18 @@
 
 func (s *sectionReader) item(kind, name string) *controlpb.Item {
 	if name == "" && kind != "rules" {
-		s.useAll()
-		s.problem("", "a section is headed by a kind and a name")
+		s.markAllUsed()
+		s.addProblem("", "a section is headed by a kind and a name")
 		return nil
 	}
 	if name != "" && !validName(name) {
-		s.useAll()
-		s.problem("", "a name is letters, digits, '.', '_' and '-', at most %d of them", maxName)
+		s.markAllUsed()
+		s.addProblem("", "a name is letters, digits, '.', '_' and '-', at most %d of them", maxName)
 		return nil
 	}
 	if name != "" && kind == "rules" {
-		s.useAll()
-		s.problem("", "rules have no name")
+		s.markAllUsed()
+		s.addProblem("", "rules have no name")
 		return nil
 	}
 	switch kind {
@@ -63,8 +63,8 @@
 	case "rules":
 		return &controlpb.Item{Key: RulesKey, Body: &controlpb.Item_Rules{Rules: s.rules()}}
 	}
-	s.useAll()
-	s.problem("", "unknown kind %q: customer, class, service, entry or rules", kind)
+	s.markAllUsed()
+	s.addProblem("", "unknown kind %q: customer, class, service, entry or rules", kind)
 	return nil
 }
 
@@ -106,7 +106,7 @@
 	}
 }
 
-// attributePrefix marks the keys of an entry that are the operator's own.
+// attributePrefix marks the keys of an entry that the operator defines.
 const attributePrefix = "attribute."
 
 func (s *sectionReader) entry(name string) *controlpb.Entry {
@@ -143,7 +143,7 @@
 func (s *sectionReader) required(key string) string {
 	value := s.text(key)
 	if value == "" {
-		s.problem(key, "missing")
+		s.addProblem(key, "missing")
 	}
 	return value
 }
@@ -155,7 +155,7 @@
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || value < low || value > high {
-		s.problem(key, "%q is not a whole number from %d to %d", text, low, high)
+		s.addProblem(key, "%q is not a whole number from %d to %d", text, low, high)
 		return fallback
 	}
 	return value
@@ -168,7 +168,7 @@
 	case "yes", "true":
 		return true
 	default:
-		s.problem(key, "%q is neither yes nor no", text)
+		s.addProblem(key, "%q is neither yes nor no", text)
 		return false
 	}
 }
@@ -180,13 +180,13 @@
 	}
 	value, err := time.ParseDuration(text)
 	if err != nil || value < 0 {
-		s.problem(key, "%q is not a duration such as 90s, 15m or 24h", text)
+		s.addProblem(key, "%q is not a duration such as 90s, 15m or 24h", text)
 		return fallback
 	}
 	return value
 }
 
-// timeOfDay gives the minutes after midnight UTC plus one, so that 0 is "none".
+// timeOfDay returns the minutes after midnight UTC plus one; 0 means none.
 func (s *sectionReader) timeOfDay(key string) uint32 {
 	text := s.text(key)
 	if text == "" {
@@ -194,7 +194,7 @@
 	}
 	at, err := time.Parse("15:04", text)
 	if err != nil {
-		s.problem(key, "%q is not a time of day such as 06:30 (UTC)", text)
+		s.addProblem(key, "%q is not a time of day such as 06:30 (UTC)", text)
 		return 0
 	}
 	return uint32(at.Hour()*60+at.Minute()) + 1
@@ -212,12 +212,13 @@
 	text := s.text(key)
 	value, ok := adjacencies[text]
 	if !ok {
-		s.problem(key, "%q is not any, worker, rack or data_centre", text)
+		s.addProblem(key, "%q is not any, worker, rack or data_centre", text)
 	}
 	return value
 }
 
-// shapes reads "2x8 rack, 1x4 worker".
+// shapes parses a list of shapes such as "2x8 rack, 1x4 worker": 2 sets of 8
+// accelerators in one rack each and 1 set of 4 on one worker.
 func (s *sectionReader) shapes(key string) []*controlpb.Shape {
 	text := s.text(key)
 	if text == "" {
@@ -227,7 +228,7 @@
 	for _, part := range strings.Split(text, ",") {
 		shape, ok := parseShape(strings.TrimSpace(part))
 		if !ok {
-			s.problem(key, "%q is not a shape such as \"2x8 rack\"", part)
+			s.addProblem(key, "%q is not a shape such as \"2x8 rack\"", part)
 			continue
 		}
 		shapes = append(shapes, shape)
@@ -253,8 +254,9 @@
 	return &controlpb.Shape{Sets: uint32(n), Accelerators: uint32(m), Adjacency: adjacency}, ok
 }
 
-// useAll keeps the keys of a section that cannot be read from being reported too.
-func (s *sectionReader) useAll() {
+// markAllUsed prevents the keys of a section that cannot be parsed from being reported
+// as unknown.
+func (s *sectionReader) markAllUsed() {
 	for _, key := range s.section.Keys {
 		s.used[key.Name] = true
 	}
@@ -263,7 +265,7 @@
 func (s *sectionReader) rejectUnknownKeys() {
 	for _, key := range s.section.Keys {
 		if !s.used[key.Name] {
-			s.problem(key.Name, "unknown key")
+			s.addProblem(key.Name, "unknown key")
 		}
 	}
 }
