--- a/internal/protocol/failure/failure.go
+++ b/internal/protocol/failure/failure.go
@@ -1,6 +1,6 @@
-// Package failure holds the typed errors of pinewinch. Every failure has a
-// code, maps to one HTTP status and one exit code, says whether the work ran,
-// and is found with errors.As.
+// Package failure defines the typed errors of pinewinch. Every error has a code that
+// maps to one HTTP status and one exit code, states whether the requested work ran,
+// and can be found with errors.As.
 package failure
 
 import (
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// NotRun says whether refused work surely did not run.
+// NotRun states whether failed work is certain not to have run.
 type NotRun string
 
-// The three answers to "did it run?".
+// NotRunTrue: the work did not run. NotRunFalse: it ran. NotRunUnknown: it may have run.
 const (
 	NotRunTrue    NotRun = "true"
 	NotRunFalse   NotRun = "false"
 	NotRunUnknown NotRun = "unknown"
 )
 
-// Code names one kind of failure on the wire, in logs and in tests.
+// Code identifies a kind of error on the wire, in logs and in tests.
 type Code string
 
-// The codes. kinds gives each its HTTP status and exit code.
+// Error codes. codeTable maps each to its HTTP status and exit code.
 const (
 	BadSettings     Code = "bad_settings"
 	BadDeclaration  Code = "bad_declaration"
@@ -56,17 +56,17 @@
 	KeyExpired      Code = "key_expired"
 	Corrupt         Code = "corrupt_log"
 	DiskFailed      Code = "disk_failed"
-	// DiskFull is a disk that takes no more bytes: what was to be written is not
-	// there, and may be written again once there is room.
+	// DiskFull means that the disk has no free space: the data was not written, and the
+	// write can be retried once space is available.
 	DiskFull Code = "disk_full"
-	// OutOfDescriptors is a file or connection that this process could not open because
-	// it holds as many as it may: nothing was written or sent.
+	// OutOfDescriptors means that a file or connection could not be opened because the
+	// process has reached its limit of file descriptors: nothing was written or sent.
 	OutOfDescriptors Code = "out_of_descriptors"
 
 	FolderInUse   Code = "data_folder_in_use"
 	CommandTooNew Code = "command_too_new"
 	Internal      Code = "internal"
-	// Codes of tasks.
+	// Codes of task failures.
 	MemoryExceeded Code = "memory_exceeded"
 	TaskFailed     Code = "task_failed"
 	LeaseLost      Code = "lease_lost"
@@ -75,12 +75,12 @@
 	Stalled        Code = "stalled"
 )
 
-type kind struct {
+type statusCodes struct {
 	status int
 	exit   int
 }
 
-var kinds = map[Code]kind{
+var codeTable = map[Code]statusCodes{
 	BadSettings:     {http.StatusBadRequest, 2},
 	BadDeclaration:  {http.StatusUnprocessableEntity, 3},
 	BadRequest:      {http.StatusBadRequest, 4},
@@ -126,8 +126,8 @@
 	OutOfDescriptors: {http.StatusServiceUnavailable, 54},
 }
 
-// infrastructure holds the codes of failures that say nothing about the work
-// itself: it met a worker that was out of reach, full, or behind.
+// infrastructure holds the codes of failures that are not caused by the work itself,
+// such as a worker that is unreachable, overloaded or has stale state.
 var infrastructure = map[Code]bool{
 	Unreachable:     true,
 	OutcomeUnknown:  true,
@@ -147,47 +147,49 @@
 	OutOfDescriptors: true,
 }
 
-// Infrastructure tells whether a task's failure counts against no job. A code
-// that a worker made up is the work's own.
+// Infrastructure reports whether a task failure with this code is not counted against
+// its job. A code that is not defined here, as a worker may report, counts as a failure
+// of the job.
 func (c Code) Infrastructure() bool { return infrastructure[c] }
 
-// Codes lists every code; tests check that each has one status and one exit code.
+// Codes returns every code, in no particular order.
 func Codes() []Code {
-	codes := make([]Code, 0, len(kinds))
-	for code := range kinds {
+	codes := make([]Code, 0, len(codeTable))
+	for code := range codeTable {
 		codes = append(codes, code)
 	}
 	return codes
 }
 
-// Source is an instance whose log could be followed.
+// Source is an instance from which the log can be followed.
 type Source struct {
 	Instance string
-	// DataCentre is empty where it is not known.
+	// DataCentre is empty if unknown.
 	DataCentre string
-	// Replica tells one that keeps the log from one that follows it.
+	// Replica is true for a replica of the log, false for an instance that itself
+	// follows the log.
 	Replica bool
 }
 
-// Error is the failure that crosses layers and processes.
+// Error is an error that is passed between layers and processes.
 type Error struct {
 	Code    Code
 	Message string
-	// NotRun is whether the work asked for surely did not run.
+	// NotRun states whether the requested work is certain not to have run.
 	NotRun NotRun
-	// RetryAfter tells the caller when to come back; 0 where that is unknown.
+	// RetryAfter is how long the caller should wait before it retries; 0 if unknown.
 	RetryAfter time.Duration
-	// Leader is the instance to ask instead, where known.
+	// Leader is the instance to send the request to instead; empty if unknown.
 	Leader string
-	// Sources have the state too, for a follower that is refused.
+	// Sources are other instances to follow, for a follower that is refused.
 	Sources []Source
 	// Revision is the newest revision, for Conflict.
 	Revision uint64
-	// Cause is the error underneath, if any.
+	// Cause is the wrapped error, if any.
 	Cause error
 }
 
-// Error gives the code and the message.
+// Error returns the code, the message and the cause.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return string(e.Code) + ": " + e.Message
@@ -195,39 +197,40 @@
 	return string(e.Code) + ": " + e.Message + ": " + e.Cause.Error()
 }
 
-// Unwrap gives the cause to errors.Is and errors.As.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// HTTPStatus is the status that this failure answers with.
-func (e *Error) HTTPStatus() int { return lookUp(e.Code).status }
+// HTTPStatus returns the HTTP status of the error's code.
+func (e *Error) HTTPStatus() int { return statusCodesOf(e.Code).status }
 
-// ExitCode is the code that a process ends with on this failure.
-func (e *Error) ExitCode() int { return lookUp(e.Code).exit }
+// ExitCode returns the exit code of a process that fails with this error.
+func (e *Error) ExitCode() int { return statusCodesOf(e.Code).exit }
 
-func lookUp(code Code) kind {
-	if k, ok := kinds[code]; ok {
+func statusCodesOf(code Code) statusCodes {
+	if k, ok := codeTable[code]; ok {
 		return k
 	}
-	return kinds[Internal]
+	return codeTable[Internal]
 }
 
-// New makes a failure of work that surely did not run.
+// New returns an error for work that certainly did not run.
 func New(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), NotRun: NotRunTrue}
 }
 
-// Ran makes a failure of work that ran, or may have: notRun says which.
+// Ran returns an error that wraps cause, for work that ran or may have run, as stated
+// by notRun.
 func Ran(code Code, notRun NotRun, cause error, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...), NotRun: notRun, Cause: cause}
 }
 
-// Wrap makes a failure of work that surely did not run because of cause.
+// Wrap returns an error that wraps cause, for work that certainly did not run.
 func Wrap(code Code, cause error, format string, args ...any) *Error {
 	return Ran(code, NotRunTrue, cause, format, args...)
 }
 
-// From finds the failure in err; an error without one becomes Internal, with
-// the outcome unknown.
+// From returns the first *Error in the chain of err. An err without one is wrapped with
+// code Internal and NotRunUnknown.
 func From(err error) *Error {
 	var found *Error
 	if errors.As(err, &found) {
@@ -236,7 +239,7 @@
 	return Ran(Internal, NotRunUnknown, err, "unexpected error")
 }
 
-// Is tells whether err carries the code.
+// Is reports whether the first *Error in the chain of err has the code.
 func Is(err error, code Code) bool {
 	var found *Error
 	return errors.As(err, &found) && found.Code == code
--- a/internal/protocol/failure/failure_test.go
+++ b/internal/protocol/failure/failure_test.go
@@ -9,15 +9,15 @@
 	"github.com/matryer/is"
 )
 
-// Scripts act on exit codes: each is one code's own, and the page that lists
-// them says what the programs do.
+// Scripts depend on exit codes: each must belong to one error code, and docs/API.md
+// must list every code with its HTTP status and exit code.
 func TestCodesAreDocumented(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile("../../../docs/API.md")
 	is.NoErr(err)
 	owner := map[int]Code{}
 	for _, code := range Codes() {
-		k := kinds[code]
+		k := codeTable[code]
 		row := fmt.Sprintf("| `%s` | %d | %d | ", code, k.status, k.exit)
 		if !strings.Contains(string(page), row) {
 			t.Errorf("docs/API.md has no row %q", row)
@@ -27,11 +27,12 @@
 		}
 		owner[k.exit] = code
 	}
-	is.Equal(strings.Count(string(page), "\n| `")-documentedCalls(string(page)), len(kinds))
+	is.Equal(strings.Count(string(page), "\n| `")-rowsBeforeCodes(string(page)), len(codeTable))
 }
 
-// documentedCalls counts the rows of the page's other tables that begin alike.
-func documentedCalls(page string) int {
+// rowsBeforeCodes counts the rows of the page's earlier tables that begin in the same
+// way as those of the table of codes.
+func rowsBeforeCodes(page string) int {
 	codes := strings.Index(page, "## Codes")
 	return strings.Count(page[:codes], "\n| `")
 }
