--- a/internal/protocol/inifile/inifile.go
+++ b/internal/protocol/inifile/inifile.go
@@ -1,6 +1,7 @@
-// Package inifile reads INI text strictly, for settings and declarations: what
-// the INI library would merge, inherit or expand without a word is a problem
-// here, because an operator would run with values that nobody wrote.
+// Package inifile parses INI text strictly, for settings and declarations. Values that
+// the INI library would silently merge, inherit or expand are kept as written or
+// reported as problems, because an operator would otherwise run with values that are
+// not in the file.
 package inifile
 
 import (
@@ -12,20 +13,20 @@
 	"gopkg.in/ini.v1"
 )
 
-// MaxBytes bounds one file; the example inventories are under 100 KB.
+// MaxBytes is the maximum size of a file. The example inventories are under 100 KB.
 const MaxBytes = 8 << 20
 
-// Problem is one thing wrong with a file.
+// Problem is one error in a file.
 type Problem struct {
 	File string
-	// Line counts from 1; 0 where the problem has no line of its own.
+	// Line counts from 1; 0 if the problem does not belong to a line.
 	Line    int
 	Section string
 	Key     string
 	Reason  string
 }
 
-// String gives file, line, section, key and reason in that order.
+// String formats the problem as "file:line: [section] key: reason".
 func (p Problem) String() string {
 	text := p.File
 	if p.Line > 0 {
@@ -40,10 +41,10 @@
 	return text + ": " + p.Reason
 }
 
-// Problems is every problem found in one go.
+// Problems is the list of all problems of one or more files.
 type Problems []Problem
 
-// Error lists the problems, one a line.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -52,29 +53,30 @@
 	return strings.Join(lines, "\n")
 }
 
-// Key is one key of a section with its value as written.
+// Key is one key of a section and its value as written.
 type Key struct {
 	Name  string
 	Value string
 	Line  int
 }
 
-// Section is one section as it stands in the file; headers may come twice.
+// Section is one section of a file. Several sections may have the same header.
 type Section struct {
 	Header string
 	Line   int
 	Keys   []Key
 }
 
-// noDelimiter can't stand in a section name, so that "[a.b]" inherits nothing
-// from "[a]".
+// noDelimiter cannot occur in a section name. As the delimiter of child sections it
+// prevents "[a.b]" from inheriting the values of "[a]".
 const noDelimiter = "\x00"
 
-// Parse reads one text; name stands for it in problems. Sections are in the
-// order of the text, and whatever parsed is given along with the problems.
+// Parse parses the text of one file; name is the file name shown in problems. Sections
+// are returned in the order of the text. Sections that could be parsed are returned
+// even if there are problems.
 func Parse(name string, text []byte) ([]Section, Problems) {
 	if len(text) > MaxBytes {
-		return nil, Problems{{File: name, Reason: fmt.Sprintf("%d bytes; at most %d are read", len(text), MaxBytes)}}
+		return nil, Problems{{File: name, Reason: fmt.Sprintf("file has %d bytes; the limit is %d", len(text), MaxBytes)}}
 	}
 	file, err := ini.LoadSources(ini.LoadOptions{
 		AllowNonUniqueSections:     true,
@@ -87,11 +89,11 @@
 		ChildSectionDelimiter:      noDelimiter,
 	}, text)
 	if err != nil {
-		return nil, Problems{{File: name, Line: lineOf(text, err), Reason: err.Error()}}
+		return nil, Problems{{File: name, Line: errorLine(text, err), Reason: err.Error()}}
 	}
 	p := &parser{name: name, lines: newLineIndex(text)}
 	for _, section := range file.Sections() {
-		p.section(section)
+		p.addSection(section)
 	}
 	return p.sections, p.problems
 }
@@ -103,7 +105,7 @@
 	problems Problems
 }
 
-func (p *parser) section(section *ini.Section) {
+func (p *parser) addSection(section *ini.Section) {
 	header := section.Name()
 	if header == ini.DefaultSection {
 		if len(section.Keys()) > 0 {
@@ -126,8 +128,9 @@
 	p.sections = append(p.sections, read)
 }
 
-// lineOf finds the line that the INI library complains of; 0 where it names none.
-func lineOf(text []byte, err error) int {
+// errorLine returns the number of the line that caused a parse error; 0 if the INI
+// library does not report the line.
+func errorLine(text []byte, err error) int {
 	var missing ini.ErrDelimiterNotFound
 	if !errors.As(err, &missing) {
 		return 0
--- a/internal/protocol/inifile/inifile_test.go
+++ b/internal/protocol/inifile/inifile_test.go
@@ -8,9 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator writes what the INI library would accept with another meaning:
-// the last of two values, a value of a "parent" section, a part of another
-// value. The file is refused with the line instead of being read that way.
+// The INI library would accept some mistakes with an unintended meaning, such as the
+// last of two values for a key. Such text must be rejected with its line number.
 func TestParseProblems(t *testing.T) {
 	tests := map[string]struct{ text, want string }{
 		"key twice":           {"[a]\nx = 1\nx = 2\n", `f:3: [a] x: set more than once`},
@@ -19,7 +18,7 @@
 		"key without section": {"x = 1\n", `f:1: a key outside a section`},
 		"no delimiter":        {"[a]\nx = 1\nnonsense\n", `f:3: key-value delimiter not found: nonsense`},
 		"unclosed section":    {"[a\n", `f: unclosed section: [a`},
-		"too large":           {strings.Repeat("; x\n", MaxBytes/4+1), `f: 8388612 bytes; at most 8388608 are read`},
+		"too large":           {strings.Repeat("; x\n", MaxBytes/4+1), `f: file has 8388612 bytes; the limit is 8388608`},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -41,8 +40,7 @@
 	})
 }
 
-// Whatever comes, the parser returns, and gives either problems or sections
-// whose keys have names.
+// For any input, Parse returns, and every key of the sections it returns has a name.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte("[a]\nx = 1\n"))
 	f.Add([]byte("[a]\nx = \"\"\"1\n2\"\"\"\n"))
--- a/internal/protocol/inifile/lines.go
+++ b/internal/protocol/inifile/lines.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// lineIndex finds the lines of sections and keys, which the INI library does
-// not keep: an operator with 400 spans needs the line of the wrong one.
+// lineIndex holds the line numbers of sections and keys, which the INI library does not
+// provide. In an inventory of 400 entries, an operator needs the line of an error.
 type lineIndex struct {
 	sections map[string][]sectionLines
 }
@@ -38,7 +38,8 @@
 	return index
 }
 
-// next gives the next unread section of that header.
+// next returns the lines of the next section with the header, in file order; line is 0
+// if there is none.
 func (l *lineIndex) next(header string) (line int, keys map[string]int) {
 	found := l.sections[header]
 	if len(found) == 0 {
