--- a/internal/protocol/latency/latency.go
+++ b/internal/protocol/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency keeps histograms of how long things took, published beside the
-// counters of package expvar.
+// Package latency provides latency histograms that are published with the variables of
+// package expvar.
 package latency
 
 import (
@@ -12,35 +12,38 @@
 )
 
 const (
-	// longest is the longest time that is told apart from longer ones.
-	longest = time.Minute
-	// digits of precision; two keep a histogram at 40 KB.
-	digits = 2
+	// maxRecorded is the upper limit of the histogram; longer durations are recorded as
+	// maxRecorded.
+	maxRecorded = time.Minute
+	// significantDigits is the precision in decimal digits; with 2, a histogram takes
+	// 40 KB.
+	significantDigits = 2
 )
 
-// Histogram is safe for concurrent use.
+// Histogram records durations with microsecond resolution. It is safe for concurrent use.
 type Histogram struct {
 	mu     sync.Mutex
 	values *hdrhistogram.Histogram
 }
 
-// New publishes a histogram under the name, which no other may have.
+// New creates a histogram and publishes it under the name, which must be unique in the
+// process: expvar.Publish panics otherwise.
 func New(name string) *Histogram {
-	h := &Histogram{values: hdrhistogram.New(1, longest.Microseconds(), digits)}
+	h := &Histogram{values: hdrhistogram.New(1, maxRecorded.Microseconds(), significantDigits)}
 	expvar.Publish(name, h)
 	return h
 }
 
-// Record takes one time in; one beyond longest counts as longest.
+// Record adds one duration; one longer than maxRecorded is recorded as maxRecorded.
 func (h *Histogram) Record(took time.Duration) {
-	microseconds := min(max(took.Microseconds(), 1), longest.Microseconds())
+	microseconds := min(max(took.Microseconds(), 1), maxRecorded.Microseconds())
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// The bounds above are the histogram's own.
+	// The value is within the histogram's limits, so RecordValue cannot fail.
 	_ = h.values.RecordValue(microseconds)
 }
 
-// String gives count and quantiles in ms as JSON.
+// String returns the count, the quantiles and the maximum, in milliseconds, as JSON.
 func (h *Histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
