--- a/internal/protocol/logstory/logstory.go
+++ b/internal/protocol/logstory/logstory.go
@@ -1,7 +1,7 @@
-// Package logstory puts together what the logs of many processes say of one
-// workflow, job, task or request: the lines with its id, in the order of time, and
-// between them what happened meanwhile to the workers and leaders that it met. It is
-// pure: texts in, lines out.
+// Package logstory merges the logs of many processes into a timeline of one workflow,
+// job, task or request: the lines with its id, ordered by time, and between them the
+// concurrent events of the workers involved, of the control log and of the processes.
+// It performs no I/O beyond reading the given logs.
 package logstory
 
 import (
@@ -18,28 +18,30 @@
 )
 
 const (
-	// maxLine bounds one line of a log.
+	// maxLine is the maximum length of a log line in bytes.
 	maxLine = 1 << 20
-	// margin is for how long before the first line and after the last one the
-	// surroundings are shown: what a decision rests on comes shortly before it.
-	margin = 2 * time.Second
+	// contextWindow is how long before the first and after the last line with the id
+	// context lines are included: the cause of a decision is logged shortly before it.
+	contextWindow = 2 * time.Second
 )
 
-// Line is one line of a log.
+// Line is one parsed log line.
 type Line struct {
-	// Process that wrote it, as far as its collector tells.
+	// Process is the process that wrote the line, as named by the log collector or, if
+	// it names none, by the caller of Read.
 	Process string    `json:"process"`
 	Time    time.Time `json:"time"`
 	Message string    `json:"message"`
-	// Fields without those above.
+	// Fields holds the other fields of the line.
 	Fields map[string]any `json:"fields"`
-	// Around marks a line that does not name the id: it tells of a worker or leader.
+	// Around marks a context line: one that does not contain the id but is about a
+	// worker, a leader or a process.
 	Around bool `json:"around,omitempty"`
 }
 
-// Read reads the log of a process. A line may begin with what a collector put before
-// it; the last word there names the process. Lines that are no JSON objects with a
-// message are counted and left out.
+// Read reads a log of JSON lines. A line may have a prefix added by a log collector;
+// the last word of the prefix is then the name of the process instead of process.
+// Lines that are not JSON objects with a message and a time are skipped and counted.
 func Read(process string, log io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLine)
@@ -85,39 +87,41 @@
 	return line, true
 }
 
-// Story gives the lines about an id, and those around them, in the order of time.
-// Lines of the same time stay in the order in which they were read.
+// Story returns the lines that mention an id and their context lines, ordered by time.
+// Of lines with the same time, those that mention the id come first, each group in the
+// order of lines. It returns nil if no line mentions the id.
 func Story(lines []Line, id string) []Line {
-	var own []Line
-	met := map[string]bool{}
+	var timeline []Line
+	workers := map[string]bool{}
 	for _, line := range lines {
-		if !line.names(id) {
+		if !line.mentions(id) {
 			continue
 		}
-		own = append(own, line)
+		timeline = append(timeline, line)
 		if worker, ok := line.Fields["worker"].(string); ok && worker != "" {
-			met[worker] = true
+			workers[worker] = true
 		}
 	}
-	if len(own) == 0 {
+	if len(timeline) == 0 {
 		return nil
 	}
 	byTime := func(a, b Line) int { return a.Time.Compare(b.Time) }
-	slices.SortStableFunc(own, byTime)
-	from, to := own[0].Time.Add(-margin), own[len(own)-1].Time.Add(margin)
+	slices.SortStableFunc(timeline, byTime)
+	from, to := timeline[0].Time.Add(-contextWindow), timeline[len(timeline)-1].Time.Add(contextWindow)
 	for _, line := range lines {
-		if line.Time.Before(from) || line.Time.After(to) || line.names(id) || !line.surrounds(met) {
+		if line.Time.Before(from) || line.Time.After(to) || line.mentions(id) || !line.isContextFor(workers) {
 			continue
 		}
 		line.Around = true
-		own = append(own, line)
+		timeline = append(timeline, line)
 	}
-	slices.SortStableFunc(own, byTime)
-	return own
+	slices.SortStableFunc(timeline, byTime)
+	return timeline
 }
 
-// names tells a line with the id, or with one that begins with it.
-func (l *Line) names(id string) bool {
+// mentions reports whether a field of the line is the id or a descendant of it, such as
+// job "aa.0.0" of workflow "aa".
+func (l *Line) mentions(id string) bool {
 	for _, value := range l.Fields {
 		text, ok := value.(string)
 		if ok && (text == id || strings.HasPrefix(text, id+".")) {
@@ -127,15 +131,15 @@
 	return false
 }
 
-// ofWorkers are the messages about a worker as such.
-var ofWorkers = []string{
+// workerMessages are the log messages about the state of a worker.
+var workerMessages = []string{
 	"worker does not answer", "worker answers again", "another boot answers in the worker's place",
 	"worker taken over", "worker announced", "worker departed",
 	"upstream heard here", "upstream silent here", "upstream heard elsewhere",
 }
 
-// ofLeaders are the messages about the control log and the process.
-var ofLeaders = []string{
+// controlMessages are the log messages about the control log and the process.
+var controlMessages = []string{
 	"control log", "not ready", "process started", "stop", "stopping", "a voter was replaced",
 	"the disk is full: this replica leaves the log until there is room",
 	"no file descriptor is left: this replica leaves the log until there is room",
@@ -143,8 +147,8 @@
 	"suppressed", "log lines dropped",
 }
 
-func (l *Line) surrounds(met map[string]bool) bool {
-	if slices.Contains(ofWorkers, l.Message) {
+func (l *Line) isContextFor(met map[string]bool) bool {
+	if slices.Contains(workerMessages, l.Message) {
 		worker, _ := l.Fields["worker"].(string)
 		upstream, _ := l.Fields["upstream"].(string)
 		return met[worker] || met[upstream]
@@ -152,10 +156,10 @@
 	if l.Message == "control log" {
 		return l.Fields["role"] == "leader"
 	}
-	return slices.Contains(ofLeaders, l.Message)
+	return slices.Contains(controlMessages, l.Message)
 }
 
-// Text is the line's fields for people, in the order of their names.
+// Text formats the fields of the line other than level as "name=value", sorted by name.
 func (l *Line) Text() string {
 	names := make([]string, 0, len(l.Fields))
 	for name := range l.Fields {
