--- a/internal/protocol/generate.go
+++ b/internal/protocol/generate.go
@@ -1,5 +1,6 @@
-// Package protocol holds the messages and codecs of pinewinch. Generated code
-// is committed; regenerate with Debian's protobuf-compiler and `go generate`.
+// Package protocol holds the commands that generate the code of the protobuf messages
+// in its subdirectories. The generated code is committed; `go generate` needs protoc of
+// Debian's package protobuf-compiler.
 package protocol
 
 //go:generate go build -o ../../.tools/protoc-gen-go google.golang.org/protobuf/cmd/protoc-gen-go
