--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -34,7 +34,7 @@
 
 func (r *reader) checkInstance(s *Settings) {
 	if s.Instance.Name != "" && !namePattern.MatchString(s.Instance.Name) {
-		r.addProblem("instance", "name", "%q is not 1 to 63 letters, digits, '.', '_' and '-' that begin with a letter or digit", s.Instance.Name)
+		r.addProblem("instance", "name", "%q is not letters, digits, '.', '_' and '-'", s.Instance.Name)
 	}
 	if _, ok := s.Peers[s.Instance.Name]; s.Instance.Name != "" && !ok {
 		r.addProblem("peers", s.Instance.Name, "this instance is missing")
