--- a/internal/experiment/overload/compare.go
+++ b/internal/experiment/overload/compare.go
@@ -12,23 +12,23 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Variant is a set of mechanisms switched off, under a name.
+// Variant is a named set of disabled mechanisms.
 type Variant struct {
 	Name string
 	Off  scheduling.Mechanisms
 }
 
-// Comparison holds the results of each variant, seed by seed.
+// Comparison holds the results of each variant: Results is indexed by variant, then by seed.
 type Comparison struct {
 	Variants []Variant
 	Results  [][]*Result
 }
 
-// Compare replays every seed under every variant, that many days at a time; progress is
-// called as days end.
-func Compare(d *Deployment, variants []Variant, from, to uint64, atOnce int, progress func()) *Comparison {
+// Compare replays the seeds from to to, both included, under every variant, with at most
+// parallel days at a time. It calls progress after each day, from several goroutines.
+func Compare(d *Deployment, variants []Variant, from, to uint64, parallel int, progress func()) *Comparison {
 	c := &Comparison{Variants: variants, Results: make([][]*Result, len(variants))}
-	limit := make(chan struct{}, max(atOnce, 1))
+	limit := make(chan struct{}, max(parallel, 1))
 	var group sync.WaitGroup
 	for v := range variants {
 		c.Results[v] = make([]*Result, to-from+1)
@@ -45,7 +45,8 @@
 	return c
 }
 
-// Write prints a line a variant, each beside the first, and its shares by queue.
+// Write prints one row per variant, with its difference from the first variant, and a
+// second table with the shares of each queue.
 func (c *Comparison) Write(out io.Writer) error {
 	days := tablewriter.NewWriter(out)
 	days.Header("variant", "score", "difference", "std error", "whole", "windows", "worst queue", "lost", "stopped", "within 1 s", "passes", "breaches")
@@ -56,8 +57,8 @@
 			return failure.Wrap(failure.Internal, err, "table")
 		}
 		for _, q := range sumQueues(c.Results[v]) {
-			err := queues.Append(variant.Name, q.Name, q.Owed, share(q.InAim, q.Owed), share(q.Late, q.Owed),
-				share(q.Owed-q.InAim-q.Late, q.Owed), share(q.WideInAim, q.WideOwed), three(q.Earned/q.Worth))
+			err := queues.Append(variant.Name, q.Name, q.Total, share(q.OnTime, q.Total), share(q.Late, q.Total),
+				share(q.Total-q.OnTime-q.Late, q.Total), share(q.LargeOnTime, q.LargeTotal), threeDecimals(q.Earned/q.Value))
 			if err != nil {
 				return failure.Wrap(failure.Internal, err, "table")
 			}
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// row sums a variant's days up.
+// row returns the table row of a variant, averaged over its days.
 func (c *Comparison) row(v int) []any {
 	results := c.Results[v]
 	mean := func(figure func(i int, r *Result) float64) (mean, stdError float64) {
@@ -84,24 +85,24 @@
 	}
 	score, _ := mean(func(_ int, r *Result) float64 { return r.Score() })
 	difference, stdError := mean(func(i int, r *Result) float64 { return r.Score() - c.Results[0][i].Score() })
-	whole, _ := mean(func(_ int, r *Result) float64 { return r.Whole })
-	windows, _ := mean(func(_ int, r *Result) float64 { return r.Windows })
-	queue, _ := mean(func(_ int, r *Result) float64 { return r.Worst })
+	earned, _ := mean(func(_ int, r *Result) float64 { return r.EarnedShare })
+	windows, _ := mean(func(_ int, r *Result) float64 { return r.WorstWindows })
+	queue, _ := mean(func(_ int, r *Result) float64 { return r.WorstQueue })
 	lost, _ := mean(func(_ int, r *Result) float64 { return r.Lost })
-	var runs, stopped, atOnce, passes, breaches int
+	var runs, stopped, stoppedEarly, passes, breaches int
 	for _, r := range results {
-		runs, stopped, atOnce = runs+r.Runs, stopped+r.Stopped, atOnce+r.StoppedAtOnce
+		runs, stopped, stoppedEarly = runs+r.Runs, stopped+r.Stopped, stoppedEarly+r.StoppedEarly
 		passes, breaches = passes+r.Passes, breaches+r.Breaches
 	}
 	return []any{
 		c.Variants[v].Name, fmt.Sprintf("%.4f", score), fmt.Sprintf("%+.4f", difference), fmt.Sprintf("%.4f", stdError),
-		three(whole), three(windows), three(queue), three(lost), share(stopped, runs), share(atOnce, runs), passes / len(results), breaches,
+		threeDecimals(earned), threeDecimals(windows), threeDecimals(queue), threeDecimals(lost), share(stopped, runs), share(stoppedEarly, runs), passes / len(results), breaches,
 	}
 }
 
-func three(figure float64) string { return fmt.Sprintf("%.3f", figure) }
+func threeDecimals(figure float64) string { return fmt.Sprintf("%.3f", figure) }
 
-func share(part, whole int) string { return three(float64(part) / float64(max(whole, 1))) }
+func share(part, total int) string { return threeDecimals(float64(part) / float64(max(total, 1))) }
 
 func sumQueues(results []*Result) []QueueResult {
 	var sums []QueueResult
@@ -115,9 +116,9 @@
 				sums = append(sums, QueueResult{Name: q.Name})
 			}
 			s := &sums[i]
-			s.Owed, s.InAim, s.Late = s.Owed+q.Owed, s.InAim+q.InAim, s.Late+q.Late
-			s.WideOwed, s.WideInAim = s.WideOwed+q.WideOwed, s.WideInAim+q.WideInAim
-			s.Earned, s.Worth = s.Earned+q.Earned, s.Worth+q.Worth
+			s.Total, s.OnTime, s.Late = s.Total+q.Total, s.OnTime+q.OnTime, s.Late+q.Late
+			s.LargeTotal, s.LargeOnTime = s.LargeTotal+q.LargeTotal, s.LargeOnTime+q.LargeOnTime
+			s.Earned, s.Value = s.Earned+q.Earned, s.Value+q.Value
 		}
 	}
 	return sums
--- a/internal/experiment/overload/doc.go
+++ b/internal/experiment/overload/doc.go
@@ -1,8 +1,8 @@
-// Package overload replays days on which more work arrives than the workers can do,
-// through the real scheduling pass, in simulated time. A day of 85 workers takes about
-// a second, so that variants of the decisions are compared over many seeds.
+// Package overload simulates days on which more work arrives than the workers can do. It
+// runs the real scheduling pass in simulated time. A day of 85 workers takes about a
+// second, so that variants of the scheduler can be compared over many seeds.
 //
-// It models what decides such a day: gangs, tight coupling, estimates that are off,
-// runs that fail, stops that take their time, workers that are lost, and a control
-// plane without a leader for seconds. Networks, logs and processes it leaves out.
+// The model covers gangs, tight coupling, inaccurate run time estimates, failing runs,
+// slow stops, lost workers, and a control plane that has no leader for seconds. It does
+// not cover networks, logs and processes.
 package overload
--- a/internal/experiment/overload/engine.go
+++ b/internal/experiment/overload/engine.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// passEvery is the least time between two passes: a commit and the time to plan.
-	passEvery = 20 * time.Millisecond
-	// passAnyway is the most.
-	passAnyway = time.Second
-	// startTime is from a plan to the first work: a commit, an order, its answer.
-	startTime = 30 * time.Millisecond
-	// failTime is from the failure of a run until its unit waits again: two commits.
-	failTime = 50 * time.Millisecond
-	// lossEvery is from the loss of one worker to that of the next.
-	lossEvery = 50 * time.Millisecond
+	// minPassInterval is the least time between two passes: a commit and the planning.
+	minPassInterval = 20 * time.Millisecond
+	// maxPassInterval is the longest time between two passes when nothing has changed.
+	maxPassInterval = time.Second
+	// startDelay is the time from a plan to the start of the work: a commit, a command to
+	// the worker and its answer.
+	startDelay = 30 * time.Millisecond
+	// failureDelay is the time from the failure of a run until its unit waits again: two
+	// commits.
+	failureDelay = 50 * time.Millisecond
+	// lossInterval is the time between the losses of two workers.
+	lossInterval = 50 * time.Millisecond
 )
 
 type eventKind int
@@ -31,9 +33,9 @@
 	eventCancel
 	eventEnd
 	eventFail
-	eventWaiting
+	eventRequeue
 	eventLost
-	eventBack
+	eventRecovered
 	eventPass
 )
 
@@ -45,10 +47,10 @@
 	worker   string
 }
 
-// engine replays one day.
+// engine simulates one day.
 type engine struct {
 	day            *Day
-	off            scheduling.Mechanisms
+	disabled       scheduling.Mechanisms
 	now            time.Duration
 	events         timeline.Queue[event]
 	active         []*unit
@@ -56,53 +58,53 @@
 	down           map[string]bool
 	plan           *scheduling.Plan
 	learned        *scheduling.RunTimes
-	warm           keepwarm.Tracker
+	locality       keepwarm.Tracker
 	speedEstimator workerspeed.Estimator
 	// speeds holds the latest estimates of speedEstimator.
-	speeds map[string]float64
-	passed time.Duration
-	// news says that something changed since the last pass.
-	news   bool
-	result Result
+	speeds   map[string]float64
+	lastPass time.Duration
+	// changed is set when an event was handled since the last pass.
+	changed bool
+	result  Result
 }
 
-// Replay plays a day with the named mechanisms of the pass switched off.
-func Replay(day *Day, off scheduling.Mechanisms) *Result {
+// Replay simulates a day with the given mechanisms of the pass disabled.
+func Replay(day *Day, disabled scheduling.Mechanisms) *Result {
 	e := &engine{
-		day: day, off: off, byJob: map[string]*unit{}, down: map[string]bool{},
+		day: day, disabled: disabled, byJob: map[string]*unit{}, down: map[string]bool{},
 		plan: &scheduling.Plan{}, learned: scheduling.NewRunTimes(),
 	}
 	for _, w := range day.workflows {
 		e.events.Add(w.at, event{kind: eventArrive, workflow: w})
 	}
 	for i, worker := range day.lost {
-		at := day.lostAt + time.Duration(i)*lossEvery
+		at := day.lostAt + time.Duration(i)*lossInterval
 		e.events.Add(at, event{kind: eventLost, worker: worker})
-		e.events.Add(at+day.LostFor, event{kind: eventBack, worker: worker})
+		e.events.Add(at+day.WorkersLostFor, event{kind: eventRecovered, worker: worker})
 	}
-	for at := time.Duration(0); at < day.Length+day.Tail; at += passEvery {
+	for at := time.Duration(0); at < day.Length+day.Tail; at += minPassInterval {
 		e.events.Add(at, event{kind: eventPass})
 	}
 	for e.events.Len() > 0 && e.events.At() < day.Length+day.Tail {
 		at, next := e.events.Next()
 		e.now = at
-		e.take(next)
+		e.handle(next)
 	}
 	e.result.finish(day)
 	return &e.result
 }
 
-func (e *engine) take(next event) {
+func (e *engine) handle(next event) {
 	if next.unit != nil && (next.epoch != next.unit.job.Epoch || next.unit.workflow.ended > 0) {
 		return
 	}
-	if e.day.absent.holds(e.now) && (next.kind == eventEnd || next.kind == eventFail) {
-		// Nobody hears of the end of a run until an instance leads again.
-		e.events.Add(e.day.absent.to, next)
+	if e.day.leaderless.contains(e.now) && (next.kind == eventEnd || next.kind == eventFail) {
+		// The end of a run is not processed until there is a leader again.
+		e.events.Add(e.day.leaderless.to, next)
 		return
 	}
 	if next.kind != eventPass {
-		e.news = true
+		e.changed = true
 	}
 	switch next.kind {
 	case eventArrive:
@@ -113,11 +115,11 @@
 		e.end(next.unit)
 	case eventFail:
 		e.fail(next.unit)
-	case eventWaiting:
-		e.wait(next.unit)
+	case eventRequeue:
+		e.requeue(next.unit)
 	case eventLost:
-		e.lose(next.worker)
-	case eventBack:
+		e.loseWorker(next.worker)
+	case eventRecovered:
 		delete(e.down, next.worker)
 	case eventPass:
 		e.pass()
@@ -126,13 +128,13 @@
 
 func (e *engine) arrive(w *workflow) {
 	w.open = len(w.steps)
-	e.begin(w.steps[0])
+	e.submit(w.steps[0])
 	if w.cancelAt > 0 {
 		e.events.Add(w.cancelAt, event{kind: eventCancel, workflow: w})
 	}
 }
 
-func (e *engine) begin(s *step) {
+func (e *engine) submit(s *step) {
 	for _, u := range s.units {
 		u.job.SubmittedMs = e.now.Milliseconds()
 		e.active = append(e.active, u)
@@ -140,7 +142,8 @@
 	}
 }
 
-// cancel ends a workflow whose user has left; what runs is stopped.
+// cancel ends a workflow that its user has cancelled, or that has failed, and removes its
+// units.
 func (e *engine) cancel(w *workflow) {
 	if w.ended > 0 {
 		return
@@ -154,28 +157,28 @@
 	}
 }
 
-func (e *engine) drop(u *unit) {
+func (e *engine) remove(u *unit) {
 	e.active = slices.DeleteFunc(e.active, func(other *unit) bool { return other == u })
 	delete(e.byJob, u.job.Id)
 }
 
-// end takes in a run that ended well.
+// end handles a run that completed.
 func (e *engine) end(u *unit) {
 	e.result.Done++
-	slowest := e.day.slowest(u.job.Placements)
+	slowestSpeed := e.day.slowestSpeed(u.job.Placements)
 	for _, placement := range u.job.Placements {
-		// A member that is done waits for the slowest.
-		waits := 1 - slowest/e.day.speeds[placement.Worker]
-		e.result.Lost += waits * float64(u.job.Accelerators) * (e.now - u.began).Seconds()
+		// Members that are done hold their accelerators until the slowest is done.
+		idleShare := 1 - slowestSpeed/e.day.speeds[placement.Worker]
+		e.result.Lost += idleShare * float64(u.job.Accelerators) * (e.now - u.began).Seconds()
 	}
 	e.learned.Observe(u.job.WorkClass, time.Duration(u.job.RunTimeMs)*time.Millisecond, u.run)
-	e.drop(u)
+	e.remove(u)
 	w := u.workflow
 	if u.step.left--; u.step.left > 0 {
 		return
 	}
 	if w.open--; w.open > 0 {
-		e.begin(w.steps[len(w.steps)-w.open])
+		e.submit(w.steps[len(w.steps)-w.open])
 		return
 	}
 	w.ended, w.done = e.now, true
@@ -183,17 +186,18 @@
 
 func (e *engine) fail(u *unit) {
 	e.result.Failed++
-	e.result.Lost += u.width() * (e.now - u.began).Seconds()
+	e.result.Lost += u.accelerators() * (e.now - u.began).Seconds()
 	u.job.OwnFailures++
 	if u.job.OwnFailures >= u.job.MaxAttempts {
 		e.cancel(u.workflow)
 		return
 	}
-	e.stopping(u, failTime)
+	e.releaseAfter(u, failureDelay)
 }
 
-// stopping frees what the unit holds after a while; checkpoints keep its work.
-func (e *engine) stopping(u *unit, took time.Duration) {
+// releaseAfter ends the unit's run and requeues the unit after the given time, keeping the
+// work up to its last checkpoint.
+func (e *engine) releaseAfter(u *unit, delay time.Duration) {
 	kept := time.Duration(0)
 	if u.job.Checkpointable {
 		kept = u.worked(e.now) / e.day.CheckpointEvery * e.day.CheckpointEvery
@@ -202,33 +206,33 @@
 	u.job.CheckpointedMs = u.done.Milliseconds()
 	u.job.State = controlpb.JobState_JOB_STATE_STOPPING
 	u.job.Epoch++
-	e.events.Add(e.now+took, event{kind: eventWaiting, unit: u, epoch: u.job.Epoch})
+	e.events.Add(e.now+delay, event{kind: eventRequeue, unit: u, epoch: u.job.Epoch})
 }
 
-func (e *engine) wait(u *unit) {
+func (e *engine) requeue(u *unit) {
 	u.job.State, u.job.Placements, u.job.StartedMs = controlpb.JobState_JOB_STATE_WAITING, nil, 0
 }
 
-// lose takes a worker away: the members of its gangs elsewhere give their room back at
-// once, and the gangs may begin anew when the worker's lease has surely run out.
-func (e *engine) lose(worker string) {
+// loseWorker makes a worker unavailable. Members of its gangs on other workers release
+// their capacity at once; the gangs may start again when the worker's lease has expired.
+func (e *engine) loseWorker(worker string) {
 	e.down[worker] = true
 	for _, u := range e.active {
 		on := slices.ContainsFunc(u.job.Placements, func(p *controlpb.Placement) bool { return p.Worker == worker })
 		if !on || u.job.State != controlpb.JobState_JOB_STATE_RUNNING {
 			continue
 		}
-		e.result.Lost += u.width() * (e.now - u.began).Seconds()
-		e.stopping(u, e.day.LeaseWait)
+		e.result.Lost += u.accelerators() * (e.now - u.began).Seconds()
+		e.releaseAfter(u, e.day.LeaseWait)
 		u.job.Placements = nil
 	}
 }
 
 func (e *engine) pass() {
-	if e.day.absent.holds(e.now) || (!e.news && e.now-e.passed < passAnyway) {
+	if e.day.leaderless.contains(e.now) || (!e.changed && e.now-e.lastPass < maxPassInterval) {
 		return
 	}
-	e.news, e.passed = false, e.now
+	e.changed, e.lastPass = false, e.now
 	e.observe()
 	workers := slices.Clone(e.day.workers)
 	for i := range workers {
@@ -242,7 +246,7 @@
 	now := time.UnixMilli(0).Add(e.now)
 	snapshot := &scheduling.Snapshot{
 		Now: now, Workers: workers, Jobs: jobs, Customers: e.day.customers, Rules: &controlpb.Rules{},
-		Warm: e.warm.Update(jobs, now), RunTimes: e.learned, Disabled: e.off,
+		Warm: e.locality.Update(jobs, now), RunTimes: e.learned, Disabled: e.disabled,
 	}
 	snapshot.CarryOver(e.plan)
 	e.plan = scheduling.Pass(snapshot)
@@ -258,14 +262,15 @@
 	}
 }
 
-// observedAfter is the age from which a gang's progress tells its members' speeds.
-const observedAfter = 1200 * time.Millisecond
+// minObservedRunTime is the age from which the progress of a gang shows the speeds of its
+// members.
+const minObservedRunTime = 1200 * time.Millisecond
 
-// observe learns from gangs that have run for a while.
+// observe updates the estimated worker speeds from gangs that have run for long enough.
 func (e *engine) observe() {
 	learned := false
 	for _, u := range e.active {
-		if u.observed == u.job.Epoch || u.job.Tasks < 2 || u.job.StartedMs == 0 || e.now-u.began < observedAfter || len(u.job.Placements) == 0 {
+		if u.observed == u.job.Epoch || u.job.Tasks < 2 || u.job.StartedMs == 0 || e.now-u.began < minObservedRunTime || len(u.job.Placements) == 0 {
 			continue
 		}
 		u.observed, learned = u.job.Epoch, true
@@ -282,7 +287,7 @@
 	e.result.Runs++
 	u.runs++
 	u.speed = e.day.speedOn(u, placements)
-	u.began = e.now + startTime
+	u.began = e.now + startDelay
 	u.job.State, u.job.Placements = controlpb.JobState_JOB_STATE_RUNNING, placements
 	u.job.StartedMs = u.began.Milliseconds()
 	u.job.Epoch++
@@ -291,8 +296,8 @@
 		left += e.day.RestoreTime
 	}
 	took := time.Duration(float64(left) / u.speed)
-	if u.runs <= len(u.fails) && u.fails[u.runs-1] > 0 {
-		at := u.began + time.Duration(u.fails[u.runs-1]*float64(took))
+	if u.runs <= len(u.failAt) && u.failAt[u.runs-1] > 0 {
+		at := u.began + time.Duration(u.failAt[u.runs-1]*float64(took))
 		e.events.Add(at, event{kind: eventFail, unit: u, epoch: u.job.Epoch})
 		return
 	}
@@ -302,11 +307,11 @@
 func (e *engine) stop(u *unit) {
 	e.result.Stopped++
 	if e.now-u.began < time.Second {
-		e.result.StoppedAtOnce++
+		e.result.StoppedEarly++
 	}
 	before := u.done
 	ran := (e.now - u.began).Seconds()
-	e.stopping(u, e.day.StopTime)
+	e.releaseAfter(u, e.day.StopTime)
 	u.job.Preempted = true
-	e.result.Lost += u.width() * max(ran-(u.done-before).Seconds(), 0)
+	e.result.Lost += u.accelerators() * max(ran-(u.done-before).Seconds(), 0)
 }
--- a/internal/experiment/overload/overload_test.go
+++ b/internal/experiment/overload/overload_test.go
@@ -13,7 +13,8 @@
 	"pinewinch.example/pinewinch/internal/coordination/scheduling"
 )
 
-// load gives about half of the customer's workers, for days that are short to replay.
+// load returns the example deployment reduced to about half of its workers, so that a
+// day is quick to simulate.
 func load(t *testing.T) *Deployment {
 	t.Helper()
 	d, err := Load("../../../examples/overload/coedlinell-85.ini")
@@ -22,25 +23,24 @@
 	return d
 }
 
-// A comparison of variants over the same seeds says something only if a day and its
-// replay are the same each time.
-func TestADayIsTheSameEachTime(t *testing.T) {
+// Comparing variants over the same seeds requires that a seed always gives the same day
+// and the same result.
+func TestReplayIsDeterministic(t *testing.T) {
 	is, d := is.New(t), load(t)
 	is.Equal(Replay(d.Day(5), 0), Replay(d.Day(5), 0))
 	is.True(Replay(d.Day(5), 0).Score() != Replay(d.Day(6), 0).Score())
 }
 
-// More work comes than there is room for, on workers of three speeds. Gangs that mind no
-// speed end with their slowest member: urgent work is late, and the other members'
-// accelerators stand still meanwhile.
-func TestGangsOfOnePaceServeMoreUnderOverload(t *testing.T) {
+// Under overload on workers of three speeds, a gang that mixes speeds ends with its slowest
+// member: urgent work is late, and the accelerators of the other members idle meanwhile.
+func TestSpeedMatchedGangsMeetMoreObjectivesUnderOverload(t *testing.T) {
 	is, d := is.New(t), load(t)
 	variants := []Variant{{Name: "all"}, {Name: "without", Off: scheduling.MatchSpeed}}
 	c := Compare(d, variants, 1, 12, 2, func() {})
 	inTime := func(results []*Result) (share float64) {
 		for _, q := range sumQueues(results) {
 			if q.Name == "clearance" {
-				share = float64(q.InAim) / float64(q.Owed)
+				share = float64(q.OnTime) / float64(q.Total)
 			}
 		}
 		return share
@@ -55,15 +55,15 @@
 	is.True(lost(c.Results[0]) < lost(c.Results[1]))
 }
 
-// The pass may not break its own invariants, whatever is switched off.
-func TestNoPlanIsRefused(t *testing.T) {
+// Plans must keep the invariants of the pass, whichever mechanisms are disabled.
+func TestPlansKeepInvariants(t *testing.T) {
 	is, d := is.New(t), load(t)
-	for _, off := range []scheduling.Mechanisms{0, scheduling.KeepWarm, scheduling.DelayForLocality, scheduling.MatchSpeed, scheduling.ExtendLocalityWait, scheduling.StartStarved} {
-		is.Equal(Replay(d.Day(3), off).Breaches, 0)
+	for _, disabled := range []scheduling.Mechanisms{0, scheduling.KeepWarm, scheduling.DelayForLocality, scheduling.MatchSpeed, scheduling.ExtendLocalityWait, scheduling.StartStarved} {
+		is.Equal(Replay(d.Day(3), disabled).Breaches, 0)
 	}
 }
 
-func TestDescriptionsThatCannotBeUsed(t *testing.T) {
+func TestLoadRejectsInvalidDescriptions(t *testing.T) {
 	for name, text := range map[string]string{
 		"no queue":       "[deployment]\nworkers = 4\nworkers_per_rack = 2\nspeeds = 1\n",
 		"not a number":   "[deployment]\nworkers = many\n",
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestMechanismsAreKnownByName(t *testing.T) {
+func TestParseMechanisms(t *testing.T) {
 	is := is.New(t)
 	set, err := scheduling.ParseMechanisms("keep-warm,match-pace")
 	is.NoErr(err)
--- a/internal/experiment/overload/result.go
+++ b/internal/experiment/overload/result.go
@@ -10,55 +10,60 @@
 // Result of one day.
 type Result struct {
 	Queues []QueueResult
-	// Whole is the share earned of what was owed, Windows that of the two worst spans
-	// of 2 s, Worst that of the worst queue.
-	Whole, Windows, Worst float64
-	// Lost is accelerator seconds of work thrown away, as a share of all that was owed.
+	// EarnedShare is the value earned as a share of the possible value, WorstWindows the
+	// same over the two worst arrival windows of 2 s, WorstQueue that of the worst queue.
+	EarnedShare, WorstWindows, WorstQueue float64
+	// Lost is the wasted accelerator time as a share of all accelerator time requested.
 	Lost float64
-	// Runs that began, ended well, failed, were stopped, and within 1 s of their start.
-	Runs, Done, Failed, Stopped, StoppedAtOnce int
-	Passes, Breaches                           int
+	// Runs counts the runs that started, Done those that completed, Failed those that
+	// failed, Stopped those preempted and StoppedEarly those preempted within 1 s of their
+	// start.
+	Runs, Done, Failed, Stopped, StoppedEarly int
+	Passes, Breaches                          int
 }
 
-// QueueResult counts the workflows of one queue whose users stayed.
+// QueueResult counts the workflows of one queue that were not cancelled. The fields with
+// the prefix Large count only its largest workflows.
 type QueueResult struct {
-	Name                string
-	Owed, InAim, Late   int
-	Earned, Worth       float64
-	WideOwed, WideInAim int
+	Name                    string
+	Total, OnTime, Late     int
+	Earned, Value           float64
+	LargeTotal, LargeOnTime int
 }
 
 const (
-	// lateUntil is in objectives; a workflow that ends after is of no use.
+	// lateUntil is a multiple of the objective; a workflow that ends later earns nothing.
 	lateUntil = 3.0
-	// fixedWorth and sizeWorth share a workflow's worth between all alike and by its
-	// work; mostWorth bounds it, in a queue's own.
-	fixedWorth, sizeWorth, mostWorth = 0.3, 0.7, 4.0
-	// windowLength of the worst windows, and how many count.
+	// fixedValueShare and sizeValueShare split a workflow's value into a part that is the
+	// same for all and a part proportional to its work; maxValue limits it as a multiple of
+	// the queue's value.
+	fixedValueShare, sizeValueShare, maxValue = 0.3, 0.7, 4.0
+	// windowLength is the length of an arrival window, worstWindows how many of the worst
+	// count.
 	windowLength = 2 * time.Second
 	worstWindows = 2
-	// wideShare is that of a queue's largest workflows that are counted apart.
-	wideShare = 0.3
+	// largeShare is the share of a queue's workflows, by work, that are counted as large.
+	largeShare = 0.3
 )
 
 // Weights of Score.
 const (
-	weightWhole, weightWindows, weightWorst = 0.75, 0.15, 0.1
-	// weightLost is the price of work thrown away.
+	weightEarned, weightWindows, weightWorst = 0.75, 0.15, 0.1
+	// weightLost is the weight of wasted work.
 	weightLost = 0.3
 )
 
-// Score sums a day up as one figure, less the work thrown away.
+// Score is the weighted sum of the shares of a day, less its wasted work.
 func (r *Result) Score() float64 {
-	return weightWhole*r.Whole + weightWindows*r.Windows + weightWorst*r.Worst - weightLost*r.Lost
+	return weightEarned*r.EarnedShare + weightWindows*r.WorstWindows + weightWorst*r.WorstQueue - weightLost*r.Lost
 }
 
 func (r *Result) finish(day *Day) {
-	var owed, earned, work float64
+	var possible, earned, work float64
 	windows := map[int]*earnings{}
 	for i := range day.Queues {
 		q := &day.Queues[i]
-		all := ofQueue(day, q)
+		all := uncancelledOf(day, q)
 		if len(all) == 0 {
 			continue
 		}
@@ -66,41 +71,42 @@
 		for _, w := range all {
 			mean += w.work / float64(len(all))
 		}
-		counted := QueueResult{Name: q.Name}
-		wide := len(all) - int(math.Ceil(wideShare*float64(len(all))))
+		sums := QueueResult{Name: q.Name}
+		large := len(all) - int(math.Ceil(largeShare*float64(len(all))))
 		for rank, w := range all {
-			worth := min(fixedWorth+sizeWorth*w.work/mean, mostWorth)
-			got := earnedBy(w) * worth
-			counted.count(w, rank >= wide)
-			counted.Earned += got
-			counted.Worth += q.Worth * worth
+			value := min(fixedValueShare+sizeValueShare*w.work/mean, maxValue)
+			earnedValue := valueEarned(w) * value
+			sums.count(w, rank >= large)
+			sums.Earned += earnedValue
+			sums.Value += q.Value * value
 			work += w.work
 			at := int(w.at / windowLength)
 			if windows[at] == nil {
 				windows[at] = &earnings{}
 			}
-			windows[at].earned += got
-			windows[at].owed += q.Worth * worth
+			windows[at].earned += earnedValue
+			windows[at].possible += q.Value * value
 		}
-		owed += counted.Worth
-		earned += counted.Earned
-		r.Queues = append(r.Queues, counted)
+		possible += sums.Value
+		earned += sums.Earned
+		r.Queues = append(r.Queues, sums)
 	}
-	r.Whole = earned / owed
-	r.Worst = 1
+	r.EarnedShare = earned / possible
+	r.WorstQueue = 1
 	for _, q := range r.Queues {
-		r.Worst = min(r.Worst, q.Earned/q.Worth)
+		r.WorstQueue = min(r.WorstQueue, q.Earned/q.Value)
 	}
-	r.Windows = worst(windows)
+	r.WorstWindows = meanOfWorst(windows)
 	r.Lost /= work
 }
 
-// ofQueue lists the queue's workflows whose users stayed, the smallest first.
-func ofQueue(day *Day, q *Queue) []*workflow {
+// uncancelledOf returns the queue's workflows that were not cancelled before they ended,
+// smallest work first.
+func uncancelledOf(day *Day, q *Queue) []*workflow {
 	var all []*workflow
 	for _, w := range day.workflows {
-		left := w.cancelAt > 0 && (!w.done || w.ended > w.cancelAt)
-		if w.queue == q && !left {
+		cancelled := w.cancelAt > 0 && (!w.done || w.ended > w.cancelAt)
+		if w.queue == q && !cancelled {
 			all = append(all, w)
 		}
 	}
@@ -108,42 +114,42 @@
 	return all
 }
 
-func earnedBy(w *workflow) float64 {
+func valueEarned(w *workflow) float64 {
 	objective := w.due - w.at
 	switch {
 	case !w.done:
 		return 0
 	case w.ended <= w.due:
-		return w.queue.Worth
+		return w.queue.Value
 	case float64(w.ended-w.at) <= lateUntil*float64(objective):
-		return w.queue.LateWorth
+		return w.queue.LateValue
 	}
 	return 0
 }
 
-func (c *QueueResult) count(w *workflow, wide bool) {
-	c.Owed++
-	inAim := w.done && w.ended <= w.due
-	if inAim {
-		c.InAim++
-	} else if earnedBy(w) > 0 {
+func (c *QueueResult) count(w *workflow, large bool) {
+	c.Total++
+	onTime := w.done && w.ended <= w.due
+	if onTime {
+		c.OnTime++
+	} else if valueEarned(w) > 0 {
 		c.Late++
 	}
-	if wide {
-		c.WideOwed++
-		if inAim {
-			c.WideInAim++
+	if large {
+		c.LargeTotal++
+		if onTime {
+			c.LargeOnTime++
 		}
 	}
 }
 
-// earnings of the workflows that came in one window.
-type earnings struct{ earned, owed float64 }
+// earnings is the value earned by and possible for the workflows that arrived in one window.
+type earnings struct{ earned, possible float64 }
 
-func worst(windows map[int]*earnings) float64 {
+func meanOfWorst(windows map[int]*earnings) float64 {
 	var shares []float64
 	for _, window := range windows {
-		shares = append(shares, window.earned/window.owed)
+		shares = append(shares, window.earned/window.possible)
 	}
 	slices.Sort(shares)
 	shares = shares[:min(worstWindows, len(shares))]
--- a/internal/experiment/overload/unit.go
+++ b/internal/experiment/overload/unit.go
@@ -10,48 +10,48 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// unit is one job as the pass sees it.
+// unit is one job of the pass: a whole gang, or a single task.
 type unit struct {
 	workflow *workflow
 	step     *step
 	job      *controlpb.Job
 	run      time.Duration
-	// done is the work that a checkpoint keeps, speed that of the run.
+	// done is the work saved by checkpoints, speed that of the current run.
 	done  time.Duration
 	speed float64
 	began time.Duration
-	// fails holds, for each run to come, the share after which it fails; 0 for one that
-	// ends well.
-	fails []float64
-	runs  int
-	// observed is the epoch whose progress was read.
+	// failAt holds, for each of the first runs, the share of its time after which it
+	// fails; 0 for a run that completes.
+	failAt []float64
+	runs   int
+	// observed is the last epoch whose progress was used to estimate worker speeds.
 	observed uint64
 }
 
-// failDraws is how many runs of a unit have their fate drawn with the day: so a day is
-// the same whatever the decisions. Runs after these end well.
-const failDraws = 6
+// drawnOutcomes is how many runs of a unit have their outcome drawn together with the day,
+// so that a day does not depend on the scheduler's decisions. Later runs complete.
+const drawnOutcomes = 6
 
-// Runs that fail do so between these shares of their time.
+// Failing runs fail between these shares of their run time.
 const earliestFailure, latestFailure = 0.05, 0.95
 
-func (m *maker) unit(w *workflow, s *step, shape *controlpb.Job, tasks int, run time.Duration, index int) *unit {
+func (g *generator) unit(w *workflow, s *step, shape *controlpb.Job, tasks int, run time.Duration, index int) *unit {
 	job := proto.CloneOf(shape)
 	job.Id = fmt.Sprintf("%s.0.%d.%d", w.id, shape.Step, index)
 	job.Tasks = uint32(tasks)
 	job.FirstTask = uint32(index)
 	u := &unit{workflow: w, step: s, job: job, run: run}
-	for range failDraws {
+	for range drawnOutcomes {
 		at := 0.0
-		if m.random.Float64() < w.queue.FailedRuns {
-			at = earliestFailure + (latestFailure-earliestFailure)*m.random.Float64()
+		if g.random.Float64() < w.queue.FailedRunShare {
+			at = earliestFailure + (latestFailure-earliestFailure)*g.random.Float64()
 		}
-		u.fails = append(u.fails, at)
+		u.failAt = append(u.failAt, at)
 	}
 	return u
 }
 
-// worked is the work done since the run began.
+// worked is the work done since the start of the run.
 func (u *unit) worked(now time.Duration) time.Duration {
 	if u.speed == 0 {
 		return 0
@@ -59,10 +59,11 @@
 	return time.Duration(float64(max(now-u.began, 0)) * u.speed)
 }
 
-// width is the accelerators that the unit holds.
-func (u *unit) width() float64 { return float64(u.job.Tasks * u.job.Accelerators) }
+// accelerators is the number of accelerators that the unit uses.
+func (u *unit) accelerators() float64 { return float64(u.job.Tasks * u.job.Accelerators) }
 
-// speedOn is that of the slowest member, less what distance costs.
+// speedOn is the speed of the slowest member, reduced by RemoteFactor when the unit runs
+// away from its data or a tightly coupled gang spans racks.
 func (d *Day) speedOn(u *unit, placements []*controlpb.Placement) float64 {
 	racks := map[string]bool{}
 	for _, placement := range placements {
@@ -70,15 +71,15 @@
 	}
 	away := u.job.DataRack != "" && (len(racks) > 1 || !racks[u.job.DataRack])
 	if away || (u.job.TightlyCoupled && len(racks) > 1) {
-		return d.slowest(placements) / d.RemoteFactor
+		return d.slowestSpeed(placements) / d.RemoteFactor
 	}
-	return d.slowest(placements)
+	return d.slowestSpeed(placements)
 }
 
-func (d *Day) slowest(placements []*controlpb.Placement) float64 {
-	slowest := math.Inf(1)
+func (d *Day) slowestSpeed(placements []*controlpb.Placement) float64 {
+	slowestSpeed := math.Inf(1)
 	for _, placement := range placements {
-		slowest = min(slowest, d.speeds[placement.Worker])
+		slowestSpeed = min(slowestSpeed, d.speeds[placement.Worker])
 	}
-	return slowest
+	return slowestSpeed
 }
--- a/internal/experiment/overload/workload.go
+++ b/internal/experiment/overload/workload.go
@@ -12,37 +12,38 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Day is one day drawn from a deployment.
+// Day is the workload and the faults of one day, drawn from a deployment.
 type Day struct {
 	*Deployment
 	workers []scheduling.Worker
-	// speeds and racks of the workers, by id.
+	// speeds and rackOf are keyed by worker id.
 	speeds    map[string]float64
 	rackOf    map[string]string
 	customers map[string]*controlpb.Customer
 	workflows []*workflow
-	// absent is when no instance leads.
-	absent window
-	// lost are the workers that are lost, one after the other from lostAt.
+	// leaderless is the period in which no instance is the leader.
+	leaderless window
+	// lost are the workers that are lost, one every lossInterval from lostAt on.
 	lost   []string
 	lostAt time.Duration
 }
 
 type window struct{ from, to time.Duration }
 
-func (w window) holds(at time.Duration) bool { return at >= w.from && at < w.to }
+func (w window) contains(at time.Duration) bool { return at >= w.from && at < w.to }
 
-// workflow is one on its way, with what its declaration does not tell.
+// workflow is one workflow of the day, including what its declaration does not contain:
+// its true run times, its failures and its cancellation.
 type workflow struct {
 	queue    *Queue
 	id       string
 	customer string
 	at       time.Duration
-	// cancelAt is when its user leaves; 0 for never.
+	// cancelAt is when its user cancels it; 0 for never.
 	cancelAt time.Duration
-	// due is the objective by true run times.
+	// due is the time of its objective, computed from the true run times.
 	due time.Duration
-	// work is in accelerator seconds.
+	// work is the total work in accelerator seconds.
 	work  float64
 	steps []*step
 	open  int
@@ -50,163 +51,163 @@
 	done  bool
 }
 
-// step becomes one unit where its tasks are a gang, and one a task otherwise.
+// step is one unit if its tasks form a gang, and one unit per task otherwise.
 type step struct {
 	units []*unit
 	left  int
 }
 
-// Day draws the day of a seed.
+// Day generates the day of a seed.
 func (d *Deployment) Day(seed uint64) *Day {
-	m := &maker{Day: &Day{Deployment: d, speeds: map[string]float64{}, rackOf: map[string]string{}, customers: map[string]*controlpb.Customer{}}, random: rand.New(rand.NewPCG(seed, 1))}
-	m.makeWorkers()
+	g := &generator{Day: &Day{Deployment: d, speeds: map[string]float64{}, rackOf: map[string]string{}, customers: map[string]*controlpb.Customer{}}, random: rand.New(rand.NewPCG(seed, 1))}
+	g.makeWorkers()
 	for i := range d.Customers {
 		name := customerName(i)
-		m.customers[name] = &controlpb.Customer{Name: name, Weight: 1, GuaranteedAccelerators: d.Guaranteed}
+		g.customers[name] = &controlpb.Customer{Name: name, Weight: 1, GuaranteedAccelerators: d.Guaranteed}
 	}
-	m.makeTroubles()
+	g.drawFaults()
 	for i := range d.Queues {
-		m.makeWorkflows(&d.Queues[i])
+		g.makeWorkflows(&d.Queues[i])
 	}
-	slices.SortStableFunc(m.workflows, func(a, b *workflow) int { return cmp.Compare(a.at, b.at) })
-	return m.Day
+	slices.SortStableFunc(g.workflows, func(a, b *workflow) int { return cmp.Compare(a.at, b.at) })
+	return g.Day
 }
 
-type maker struct {
+type generator struct {
 	*Day
 	random *rand.Rand
 }
 
 func customerName(i int) string { return fmt.Sprintf("c%02d", i) }
 
-func (m *maker) makeWorkers() {
-	racks := m.racks()
-	for i := range m.Deployment.Workers {
-		rack := i / m.PerRack
+func (g *generator) makeWorkers() {
+	racks := g.racks()
+	for i := range g.Deployment.Workers {
+		rack := i / g.WorkersPerRack
 		worker := scheduling.Worker{
-			ID: fmt.Sprintf("w%04d", i), Rack: rackName(rack), DataCentre: fmt.Sprintf("d%02d", rack*m.DataCentres/racks),
-			Cores: m.Cores, MemoryMB: m.MemoryMB, Accelerators: m.Accelerators,
+			ID: fmt.Sprintf("w%04d", i), Rack: rackName(rack), DataCentre: fmt.Sprintf("d%02d", rack*g.DataCentres/racks),
+			Cores: g.Cores, MemoryMB: g.MemoryMB, Accelerators: g.Accelerators,
 		}
-		m.workers = append(m.workers, worker)
-		m.rackOf[worker.ID] = worker.Rack
-		m.speeds[worker.ID] = m.Speeds[m.random.IntN(len(m.Speeds))]
+		g.workers = append(g.workers, worker)
+		g.rackOf[worker.ID] = worker.Rack
+		g.speeds[worker.ID] = g.Speeds[g.random.IntN(len(g.Speeds))]
 	}
 }
 
-func (d *Deployment) racks() int { return (d.Workers + d.PerRack - 1) / d.PerRack }
+func (d *Deployment) racks() int { return (d.Workers + d.WorkersPerRack - 1) / d.WorkersPerRack }
 
 func rackName(i int) string { return fmt.Sprintf("r%03d", i) }
 
-// troubleUntil is the share of the day in which troubles begin, so that their
-// consequences are seen.
-const troubleUntil = 0.6
+// faultsUntil is the share of the day in which faults begin, so that their effects fall
+// within the day.
+const faultsUntil = 0.6
 
-func (m *maker) sometime() time.Duration {
-	return time.Duration(m.random.Float64() * troubleUntil * float64(m.Length))
+func (g *generator) faultTime() time.Duration {
+	return time.Duration(g.random.Float64() * faultsUntil * float64(g.Length))
 }
 
-func (m *maker) makeTroubles() {
-	from := m.sometime()
-	m.absent = window{from, from + m.LeaderAbsent}
-	m.lostAt = m.sometime()
-	count := int(m.LostShare * float64(m.Deployment.Workers))
-	for _, i := range m.random.Perm(m.Deployment.Workers)[:count] {
-		m.lost = append(m.lost, m.workers[i].ID)
+func (g *generator) drawFaults() {
+	from := g.faultTime()
+	g.leaderless = window{from, from + g.LeaderAbsent}
+	g.lostAt = g.faultTime()
+	count := int(g.WorkersLostShare * float64(g.Deployment.Workers))
+	for _, i := range g.random.Perm(g.Deployment.Workers)[:count] {
+		g.lost = append(g.lost, g.workers[i].ID)
 	}
 }
 
-func (m *maker) makeWorkflows(q *Queue) {
-	burstAt := m.sometime()
-	burst := window{burstAt, burstAt + q.BurstFor}
-	rate := q.Share * m.Arrivals
-	most := rate * max(q.Burst, 1)
-	for at := m.pause(most); at < m.Length; at += m.pause(most) {
+func (g *generator) makeWorkflows(q *Queue) {
+	burstAt := g.faultTime()
+	burst := window{burstAt, burstAt + q.BurstLength}
+	rate := q.Share * g.Arrivals
+	peakRate := rate * max(q.Burst, 1)
+	for at := g.interarrival(peakRate); at < g.Length; at += g.interarrival(peakRate) {
 		now := rate
-		if burst.holds(at) {
-			now = most
+		if burst.contains(at) {
+			now = peakRate
 		}
-		if m.random.Float64() < now/most {
-			m.workflows = append(m.workflows, m.workflow(q, at))
+		if g.random.Float64() < now/peakRate {
+			g.workflows = append(g.workflows, g.workflow(q, at))
 		}
 	}
 }
 
-func (m *maker) pause(rate float64) time.Duration {
-	return time.Duration(m.random.ExpFloat64() / rate * float64(time.Second))
+func (g *generator) interarrival(rate float64) time.Duration {
+	return time.Duration(g.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// lognormal draws with a mean and a spread of the logarithm.
-func (m *maker) lognormal(mean, spread float64) float64 {
-	return mean * math.Exp(spread*m.random.NormFloat64()-spread*spread/2)
+// lognormal draws a value with the given mean and standard deviation of the logarithm.
+func (g *generator) lognormal(mean, spread float64) float64 {
+	return mean * math.Exp(spread*g.random.NormFloat64()-spread*spread/2)
 }
 
-func (m *maker) workflow(q *Queue, at time.Duration) *workflow {
+func (g *generator) workflow(q *Queue, at time.Duration) *workflow {
 	w := &workflow{
 		queue: q, at: at,
-		id:       fmt.Sprintf("%s-%05d", q.Name, len(m.workflows)),
-		customer: customerName(int(float64(m.Customers) * math.Pow(m.random.Float64(), 2))),
+		id:       fmt.Sprintf("%s-%05d", q.Name, len(g.workflows)),
+		customer: customerName(int(float64(g.Customers) * math.Pow(g.random.Float64(), 2))),
 	}
 	steps := 1
-	if m.random.Float64() < q.SecondStep {
+	if g.random.Float64() < q.SecondStepShare {
 		steps = 2
 	}
-	saves := m.random.Float64() < q.Saves
-	var chain, declared time.Duration
+	checkpointable := g.random.Float64() < q.CheckpointShare
+	var trueRunTime, declared time.Duration
 	for number := range steps {
-		s := m.step(w, uint32(number), saves)
+		s := g.step(w, uint32(number), checkpointable)
 		w.steps = append(w.steps, s)
-		chain += s.units[0].run
+		trueRunTime += s.units[0].run
 		declared += time.Duration(s.units[0].job.RunTimeMs) * time.Millisecond
 	}
-	w.due = at + time.Duration(q.Slack*float64(chain)) + q.Target
-	objective := at + time.Duration(q.Slack*float64(declared)) + q.Target
+	w.due = at + time.Duration(q.SlackFactor*float64(trueRunTime)) + q.Target
+	objective := at + time.Duration(q.SlackFactor*float64(declared)) + q.Target
 	for _, s := range w.steps {
 		for _, u := range s.units {
 			u.job.DeadlineMs = objective.Milliseconds()
 		}
 	}
-	if m.random.Float64() < q.Cancelled {
-		w.cancelAt = at + time.Duration(m.random.Float64()*float64(chain)) + time.Millisecond
+	if g.random.Float64() < q.CancelledShare {
+		w.cancelAt = at + time.Duration(g.random.Float64()*float64(trueRunTime)) + time.Millisecond
 	}
 	return w
 }
 
-// mostInRack is how many tasks an empty rack takes: nobody couples work tightly that no
-// rack could hold.
-func (m *maker) mostInRack(q *Queue, accelerators uint32) int {
+// maxTasksInRack is how many tasks fit on an empty rack: only gangs that fit on one rack
+// are generated as tightly coupled.
+func (g *generator) maxTasksInRack(q *Queue, accelerators uint32) int {
 	const milliPerCore = 1000
-	most := min(m.Cores*milliPerCore/q.CoresMilli, m.Deployment.Accelerators/accelerators, uint32(m.Deployment.MemoryMB/q.MemoryMB))
-	return int(most) * m.PerRack
+	perWorker := min(g.Cores*milliPerCore/q.CoresMilli, g.Deployment.Accelerators/accelerators, uint32(g.Deployment.MemoryMB/q.MemoryMB))
+	return int(perWorker) * g.WorkersPerRack
 }
 
-func (m *maker) step(w *workflow, number uint32, saves bool) *step {
+func (g *generator) step(w *workflow, number uint32, checkpointable bool) *step {
 	q := w.queue
-	width := min(max(int(math.Round(m.lognormal(q.Width, q.WidthSpread))), 1), q.WidthMost)
-	run := min(time.Duration(m.lognormal(float64(q.RunTime), q.RunSpread)), q.RunMost)
+	tasks := min(max(int(math.Round(g.lognormal(q.TasksMean, q.TasksSpread))), 1), q.TasksMax)
+	run := min(time.Duration(g.lognormal(float64(q.RunTime), q.RunTimeSpread)), q.RunTimeMax)
 	run = max(run, 200*time.Millisecond)
-	accelerators := uint32(q.Accelerators[m.random.IntN(len(q.Accelerators))])
-	w.work += float64(width) * run.Seconds() * float64(accelerators)
+	accelerators := uint32(q.Accelerators[g.random.IntN(len(q.Accelerators))])
+	w.work += float64(tasks) * run.Seconds() * float64(accelerators)
 	job := &controlpb.Job{
 		Customer: w.customer, WorkClass: q.Name, Workflow: w.id, Step: number,
 		Accelerators: accelerators, CoresMilli: q.CoresMilli, MemoryMb: q.MemoryMB,
-		RunTimeMs: time.Duration(float64(run) * math.Exp(q.EstimateOff*m.random.NormFloat64())).Milliseconds(),
-		Priority:  q.Priority, Urgent: q.Priority == 0, Idempotent: true, Checkpointable: saves,
+		RunTimeMs: time.Duration(float64(run) * math.Exp(q.EstimateSpread*g.random.NormFloat64())).Milliseconds(),
+		Priority:  q.Priority, Urgent: q.Priority == 0, Idempotent: true, Checkpointable: checkpointable,
 		State: controlpb.JobState_JOB_STATE_WAITING, MaxAttempts: q.MaxAttempts,
 	}
-	if m.random.Float64() < q.DataRack {
-		job.DataRack = rackName(m.random.IntN(m.racks()))
+	if g.random.Float64() < q.DataRack {
+		job.DataRack = rackName(g.random.IntN(g.racks()))
 	}
-	tight := m.random.Float64() < q.Tight
-	job.TightlyCoupled = tight && q.Gang && width > 1 && width <= m.mostInRack(q, accelerators)
+	tight := g.random.Float64() < q.TightShare
+	job.TightlyCoupled = tight && q.Gang && tasks > 1 && tasks <= g.maxTasksInRack(q, accelerators)
 	s := &step{}
 	if q.Gang {
 		// A gang ends with its slowest member.
-		run = time.Duration(float64(run) * (1 + q.Uneven*m.random.Float64()))
-		s.units = []*unit{m.unit(w, s, job, width, run, 0)}
+		run = time.Duration(float64(run) * (1 + q.Uneven*g.random.Float64()))
+		s.units = []*unit{g.unit(w, s, job, tasks, run, 0)}
 	} else {
-		for i := range width {
-			own := time.Duration(float64(run) * math.Exp(q.Uneven*m.random.NormFloat64()))
-			s.units = append(s.units, m.unit(w, s, job, 1, own, i))
+		for i := range tasks {
+			own := time.Duration(float64(run) * math.Exp(q.Uneven*g.random.NormFloat64()))
+			s.units = append(s.units, g.unit(w, s, job, 1, own, i))
 		}
 	}
 	s.left = len(s.units)
