--- a/internal/experiment/replay/baseline.go
+++ b/internal/experiment/replay/baseline.go
@@ -8,7 +8,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Policies lists ours and the baselines.
+// Policies lists the two baselines and the scheduling pass of this project.
 func Policies() []Policy {
 	return []Policy{
 		{"first-fit", firstFit},
@@ -18,27 +18,27 @@
 }
 
 // firstFit starts jobs strictly in the order of arrival, each on the first
-// workers that take it; a job without room holds back all later ones.
+// workers that have capacity for it; a job that does not fit blocks all later ones.
 func firstFit(s *scheduling.Snapshot) *scheduling.Plan {
-	f := newFree(s, nil)
+	f := newFreeCapacity(s, nil)
 	plan := &scheduling.Plan{}
 	for _, job := range waitingByArrival(s) {
 		placements := f.fit(job)
 		if placements == nil {
 			break
 		}
-		f.take(job, placements)
+		f.allocate(job, placements)
 		plan.Assignments = append(plan.Assignments, &controlpb.Assignment{Job: job.Id, Epoch: job.Epoch, Placements: placements})
 	}
 	return plan
 }
 
 // backfillPass is first-fit with EASY backfill on declared run times (Lifka,
-// JSSPP 1995): the first job without room gets a start time, when enough of the
-// running work has ended by its declaration, and later jobs may start that end
-// before it by theirs.
+// JSSPP 1995): the first job that does not fit gets a reservation at the time when
+// enough running work has ended according to its declared run times. Later jobs may
+// start if by their declared run times they end before that.
 func backfillPass(s *scheduling.Snapshot) *scheduling.Plan {
-	f := newFree(s, nil)
+	f := newFreeCapacity(s, nil)
 	plan := &scheduling.Plan{}
 	var shadow int64
 	for _, job := range waitingByArrival(s) {
@@ -52,13 +52,14 @@
 			}
 			continue
 		}
-		f.take(job, placements)
+		f.allocate(job, placements)
 		plan.Assignments = append(plan.Assignments, &controlpb.Assignment{Job: job.Id, Epoch: job.Epoch, Placements: placements})
 	}
 	return plan
 }
 
-// shadowTime is when the job would fit if running work ended as declared.
+// shadowTime is the time in Unix milliseconds at which the job would fit if running work
+// ended as declared.
 func shadowTime(s *scheduling.Snapshot, job *controlpb.Job) int64 {
 	var ends []int64
 	for _, other := range s.Jobs {
@@ -68,7 +69,7 @@
 	}
 	slices.Sort(ends)
 	i, _ := slices.BinarySearchFunc(ends, true, func(end int64, _ bool) int {
-		if newFree(s, &end).fit(job) != nil {
+		if newFreeCapacity(s, &end).fit(job) != nil {
 			return 0
 		}
 		return -1
@@ -92,56 +93,58 @@
 	return waiting
 }
 
-// free is what each worker has free.
-type free struct {
-	workers []scheduling.Worker
-	cores   []int64
-	memory  []int64
-	numbers [][]uint32
-	index   map[string]int
+// freeCapacity is the free capacity of each worker, indexed as workers.
+type freeCapacity struct {
+	workers      []scheduling.Worker
+	cores        []int64
+	memory       []int64
+	accelerators [][]uint32
+	index        map[string]int
 }
 
-// newFree counts what is free now, or at a time, by declared ends.
-func newFree(s *scheduling.Snapshot, at *int64) *free {
-	f := &free{workers: s.Workers, index: map[string]int{}}
+// newFreeCapacity computes the capacity that is free now, or at the given time in Unix
+// milliseconds if running work ends as declared.
+func newFreeCapacity(s *scheduling.Snapshot, at *int64) *freeCapacity {
+	f := &freeCapacity{workers: s.Workers, index: map[string]int{}}
 	for i, worker := range s.Workers {
 		f.index[worker.ID] = i
 		f.cores = append(f.cores, int64(worker.Cores))
 		f.memory = append(f.memory, int64(worker.MemoryMB))
-		var numbers []uint32
+		var accelerators []uint32
 		for number := range worker.Accelerators {
-			numbers = append(numbers, number)
+			accelerators = append(accelerators, number)
 		}
-		f.numbers = append(f.numbers, numbers)
+		f.accelerators = append(f.accelerators, accelerators)
 	}
 	for _, job := range s.Jobs {
 		if at == nil || max(declaredEnd(job), s.Now.UnixMilli()+1) > *at {
-			f.take(job, job.Placements)
+			f.allocate(job, job.Placements)
 		}
 	}
 	return f
 }
 
-func (f *free) take(job *controlpb.Job, placements []*controlpb.Placement) {
+func (f *freeCapacity) allocate(job *controlpb.Job, placements []*controlpb.Placement) {
 	for _, placement := range placements {
 		i := f.index[placement.Worker]
 		f.cores[i] -= int64(job.Cores)
 		f.memory[i] -= int64(job.MemoryMb)
-		f.numbers[i] = slices.DeleteFunc(slices.Clone(f.numbers[i]), func(n uint32) bool { return slices.Contains(placement.Accelerators, n) })
+		f.accelerators[i] = slices.DeleteFunc(slices.Clone(f.accelerators[i]), func(n uint32) bool { return slices.Contains(placement.Accelerators, n) })
 	}
 }
 
-// fit walks the workers in order and starts over at each new domain.
-func (f *free) fit(job *controlpb.Job) []*controlpb.Placement {
+// fit places the tasks on the first workers, in order, that lie in one adjacency domain
+// and have capacity for all; nil if there are none.
+func (f *freeCapacity) fit(job *controlpb.Job) []*controlpb.Placement {
 	var placements []*controlpb.Placement
 	for i, worker := range f.workers {
-		if i > 0 && !together(f.workers[i-1], worker, job.Adjacency) {
+		if i > 0 && !sameDomain(f.workers[i-1], worker, job.Adjacency) {
 			placements = nil
 		}
-		for room := f.room(i, job); room > 0; room-- {
-			from := (room - 1) * int64(job.Accelerators)
+		for left := f.tasksThatFit(i, job); left > 0; left-- {
+			from := (left - 1) * int64(job.Accelerators)
 			placements = append(placements, &controlpb.Placement{
-				Task: uint32(len(placements)), Worker: worker.ID, Accelerators: f.numbers[i][from : from+int64(job.Accelerators)],
+				Task: uint32(len(placements)), Worker: worker.ID, Accelerators: f.accelerators[i][from : from+int64(job.Accelerators)],
 			})
 			if len(placements) == int(job.Tasks) {
 				return placements
@@ -151,24 +154,24 @@
 	return nil
 }
 
-func (f *free) room(i int, job *controlpb.Job) int64 {
+func (f *freeCapacity) tasksThatFit(i int, job *controlpb.Job) int64 {
 	if f.workers[i].Unavailable {
 		return 0
 	}
-	room := int64(job.Tasks)
+	tasks := int64(job.Tasks)
 	if job.Accelerators > 0 {
-		room = min(room, int64(len(f.numbers[i]))/int64(job.Accelerators))
+		tasks = min(tasks, int64(len(f.accelerators[i]))/int64(job.Accelerators))
 	}
 	if job.Cores > 0 {
-		room = min(room, f.cores[i]/int64(job.Cores))
+		tasks = min(tasks, f.cores[i]/int64(job.Cores))
 	}
 	if job.MemoryMb > 0 {
-		room = min(room, f.memory[i]/int64(job.MemoryMb))
+		tasks = min(tasks, f.memory[i]/int64(job.MemoryMb))
 	}
-	return max(room, 0)
+	return max(tasks, 0)
 }
 
-func together(a, b scheduling.Worker, adjacency controlpb.Adjacency) bool {
+func sameDomain(a, b scheduling.Worker, adjacency controlpb.Adjacency) bool {
 	switch adjacency {
 	case onWorker:
 		return false
--- a/internal/experiment/replay/engine.go
+++ b/internal/experiment/replay/engine.go
@@ -12,32 +12,32 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Policy plans one pass.
+// Policy is a named scheduling pass.
 type Policy struct {
 	Name string
 	Pass func(*scheduling.Snapshot) *scheduling.Plan
 }
 
-// Costs that the workers add, alike for every policy.
+// Costs of starts, stops and failures, the same for every policy.
 const (
 	// stopTime is how long a stop without a checkpoint takes; one with a
 	// checkpoint takes up to checkpointTime more.
 	stopTime       = 2 * time.Second
 	checkpointTime = 18 * time.Second
-	// restoreTime is added to a run that goes on from a checkpoint.
+	// restoreTime is added to a run that resumes from a checkpoint.
 	restoreTime = 30 * time.Second
-	// failAfter is when a task on the bad worker fails.
+	// failAfter is the time after which a task on the bad worker fails.
 	failAfter = 30 * time.Second
-	// underSizedAfter is the share of its run after which a task is stopped
+	// memoryExceededAfter is the share of its run after which a task is stopped
 	// for using more memory than declared.
-	underSizedAfter = 0.05
-	// quarantineAfter is how many failed jobs quarantine a worker, and probeAfter
-	// when it is tried again.
+	memoryExceededAfter = 0.05
+	// quarantineAfter is the number of failed jobs that puts a worker into quarantine,
+	// probeAfter the time until it is tried again.
 	quarantineAfter = 3
 	probeAfter      = time.Hour
 	backoff         = 30 * time.Second
-	// passEvery bounds how often a pass is made.
-	passEvery = time.Second
+	// passInterval is the least time between two passes.
+	passInterval = time.Second
 )
 
 type eventKind int
@@ -48,7 +48,7 @@
 	eventComplete
 	eventFail
 	eventStopped
-	eventWake
+	eventBackoffOver
 )
 
 type event struct {
@@ -57,45 +57,47 @@
 	epoch uint64
 }
 
-// run is one job on its way.
+// run is one job and its progress through the simulation.
 type run struct {
 	Arrival
-	job      *controlpb.Job
-	done     time.Duration
-	first    time.Duration
-	ended    time.Duration
-	complete bool
-	started  bool
-	// due is set when the customer's guarantee alone had room for the job.
-	due bool
-	// takingBack is when the job first waited for gangs to stop.
-	takingBack time.Duration
+	job        *controlpb.Job
+	done       time.Duration
+	firstStart time.Duration
+	ended      time.Duration
+	complete   bool
+	started    bool
+	// withinGuarantee is set if the customer's guarantee alone covered the job on arrival.
+	withinGuarantee bool
+	// preemptingSince is when the job began to wait for preempted gangs to stop; 0 if it
+	// does not.
+	preemptingSince time.Duration
 }
 
-// engine replays one scenario under one policy.
+// engine simulates one scenario under one policy.
 type engine struct {
-	scenario *Scenario
-	policy   Policy
-	now      time.Duration
-	events   timeline.Queue[event]
-	runs     map[string]*run
-	active   []*controlpb.Job
-	plan     *scheduling.Plan
-	learned  *scheduling.RunTimes
-	random   *rand.Rand
-	failed   int
-	until    time.Duration
-	meter    meter
+	scenario          *Scenario
+	policy            Policy
+	now               time.Duration
+	events            timeline.Queue[event]
+	runs              map[string]*run
+	active            []*controlpb.Job
+	plan              *scheduling.Plan
+	runTimes          *scheduling.RunTimes
+	random            *rand.Rand
+	badWorkerFailures int
+	quarantinedUntil  time.Duration
+	meter             meter
 }
 
-// epochStart keeps times positive.
-var epochStart = time.UnixMilli(0)
+// simulationStart is the absolute time at simulated time 0: the Unix epoch, so that Unix
+// milliseconds are never negative.
+var simulationStart = time.UnixMilli(0)
 
-// Replay runs a scenario to its end.
+// Replay simulates a scenario under a policy until no events are left.
 func Replay(scenario *Scenario, policy Policy) *Result {
 	e := &engine{
 		scenario: scenario, policy: policy, runs: map[string]*run{}, plan: &scheduling.Plan{},
-		learned: scheduling.NewRunTimes(), random: rand.New(rand.NewPCG(7, 7)),
+		runTimes: scheduling.NewRunTimes(), random: rand.New(rand.NewPCG(7, 7)),
 	}
 	e.meter.start(scenario)
 	for _, arrival := range scenario.Arrivals {
@@ -116,20 +118,20 @@
 	e.events.Add(at, event{kind: kind, job: r, epoch: r.job.Epoch})
 }
 
-// step takes every event of one pass's time together.
+// step handles all events of one pass interval and then runs a pass.
 func (e *engine) step() {
 	at := e.events.At()
 	e.meter.advance(e, at-e.now)
 	e.now = at
-	for e.events.Len() > 0 && e.events.At() < at+passEvery {
-		due, next := e.events.Next()
+	for e.events.Len() > 0 && e.events.At() < at+passInterval {
+		due, ev := e.events.Next()
 		e.now = max(e.now, due)
-		e.take(next)
+		e.handle(ev)
 	}
 	e.pass()
 }
 
-func (e *engine) take(next event) {
+func (e *engine) handle(next event) {
 	r := next.job
 	if next.kind != eventArrive && next.kind != eventCancel && (next.epoch != r.job.Epoch || r.ended > 0) {
 		return
@@ -139,13 +141,13 @@
 		e.arrive(r)
 	case eventCancel:
 		if r.ended == 0 {
-			e.leave(r)
+			e.remove(r)
 		}
 	case eventComplete:
 		if r.job.State == controlpb.JobState_JOB_STATE_RUNNING {
 			r.complete = true
-			e.learned.Observe(r.job.WorkClass, time.Duration(r.job.RunTimeMs)*time.Millisecond, r.RunTime)
-			e.leave(r)
+			e.runTimes.Observe(r.job.WorkClass, time.Duration(r.job.RunTimeMs)*time.Millisecond, r.RunTime)
+			e.remove(r)
 		}
 	case eventFail:
 		if r.job.State == controlpb.JobState_JOB_STATE_RUNNING {
@@ -156,8 +158,8 @@
 	}
 }
 
-// arrive refuses impossible work, alike for every policy: under strict FIFO it
-// would stand before all other work for ever.
+// arrive refuses jobs that cannot fit on the workers, under every policy: under strict
+// FIFO such a job would block all later ones for ever.
 func (e *engine) arrive(r *run) {
 	if !scheduling.Feasible(scheduling.JobShape(r.job), e.scenario.Workers).Feasible {
 		r.ended = e.now
@@ -165,12 +167,12 @@
 		return
 	}
 	e.active = append(e.active, r.job)
-	r.due = e.due(r.job)
+	r.withinGuarantee = e.withinGuarantee(r.job)
 }
 
-// due tells whether the guarantee alone has room: each active job of the
-// customer, this one too, fits a set of its own.
-func (e *engine) due(job *controlpb.Job) bool {
+// withinGuarantee reports whether the customer's guarantee alone covers the job: each of
+// the customer's active jobs, including this one, fits into a set of its own.
+func (e *engine) withinGuarantee(job *controlpb.Job) bool {
 	shape := e.scenario.Customers[job.Customer].Guarantee[0]
 	var count uint32
 	for _, other := range e.active {
@@ -186,38 +188,38 @@
 	return count <= shape.Sets
 }
 
-func (e *engine) leave(r *run) {
+func (e *engine) remove(r *run) {
 	r.ended = e.now
 	e.active = slices.DeleteFunc(e.active, func(job *controlpb.Job) bool { return job == r.job })
 }
 
 func (e *engine) fail(r *run) {
-	onBad := slices.ContainsFunc(r.job.Placements, func(p *controlpb.Placement) bool { return p.Worker == e.scenario.BadWorker })
-	if onBad {
-		if e.failed++; e.failed%quarantineAfter == 0 {
-			e.until = e.now + probeAfter
+	onBadWorker := slices.ContainsFunc(r.job.Placements, func(p *controlpb.Placement) bool { return p.Worker == e.scenario.BadWorker })
+	if onBadWorker {
+		if e.badWorkerFailures++; e.badWorkerFailures%quarantineAfter == 0 {
+			e.quarantinedUntil = e.now + probeAfter
 		}
 	} else {
 		r.job.MemoryMb = r.MemoryMB
 	}
-	e.meter.lose(r, e.ran(r))
+	e.meter.addLost(r, e.elapsed(r))
 	r.job.State, r.job.Placements = controlpb.JobState_JOB_STATE_WAITING, nil
 	r.job.NotBeforeMs = (e.now + backoff).Milliseconds()
-	e.push(e.now+backoff, eventWake, r)
+	e.push(e.now+backoff, eventBackoffOver, r)
 }
 
-func (e *engine) ran(r *run) time.Duration {
+func (e *engine) elapsed(r *run) time.Duration {
 	return e.now - time.Duration(r.job.StartedMs)*time.Millisecond
 }
 
 func (e *engine) pass() {
 	workers := slices.Clone(e.scenario.Workers)
 	for i := range workers {
-		workers[i].Unavailable = workers[i].ID == e.scenario.BadWorker && e.now < e.until
+		workers[i].Unavailable = workers[i].ID == e.scenario.BadWorker && e.now < e.quarantinedUntil
 	}
 	snapshot := &scheduling.Snapshot{
-		Now: epochStart.Add(e.now), Workers: workers, Jobs: e.active, Customers: e.scenario.Customers,
-		Rules: &controlpb.Rules{FragmentationWeight: e.scenario.FragmentationWeight}, RunTimes: e.learned,
+		Now: simulationStart.Add(e.now), Workers: workers, Jobs: e.active, Customers: e.scenario.Customers,
+		Rules: &controlpb.Rules{FragmentationWeight: e.scenario.FragmentationWeight}, RunTimes: e.runTimes,
 	}
 	snapshot.CarryOver(e.plan)
 	began := time.Now()
@@ -235,10 +237,10 @@
 	for _, reason := range e.plan.Waiting {
 		r := e.runs[reason.Job]
 		if reason.Code != scheduling.ReasonPreempting {
-			// The customer gave the room to other work of its own.
-			r.takingBack = 0
-		} else if r.takingBack == 0 {
-			r.takingBack = e.now
+			// The capacity went to other work of the customer.
+			r.preemptingSince = 0
+		} else if r.preemptingSince == 0 {
+			r.preemptingSince = e.now
 		}
 	}
 }
@@ -249,11 +251,11 @@
 	r.job.Attempts++
 	r.job.StartedMs = e.now.Milliseconds()
 	if !r.started {
-		r.started, r.first = true, e.now
+		r.started, r.firstStart = true, e.now
 	}
-	if r.takingBack > 0 {
-		e.meter.takeBack(e.now - r.takingBack)
-		r.takingBack = 0
+	if r.preemptingSince > 0 {
+		e.meter.recordPreemptionWait(e.now - r.preemptingSince)
+		r.preemptingSince = 0
 	}
 	left := r.RunTime - r.done
 	if r.done > 0 {
@@ -263,23 +265,23 @@
 	if slices.ContainsFunc(placements, func(p *controlpb.Placement) bool { return p.Worker == e.scenario.BadWorker }) {
 		e.push(e.now+min(failAfter, left/2), eventFail, r)
 	} else if r.job.MemoryMb < r.MemoryMB {
-		e.push(e.now+time.Duration(float64(left)*underSizedAfter), eventFail, r)
+		e.push(e.now+time.Duration(float64(left)*memoryExceededAfter), eventFail, r)
 	}
 }
 
-// stop keeps a checkpointable job's work, less what the stop and the restore
-// cost, and loses any other's.
+// stop preempts a job. A checkpointable job keeps its work, less the cost of the stop and
+// the restore; any other loses it.
 func (e *engine) stop(r *run) {
 	r.job.State = controlpb.JobState_JOB_STATE_STOPPING
 	r.job.Epoch++
 	took := stopTime
 	if r.job.Checkpointable {
-		r.done = min(r.RunTime, r.done+max(0, e.ran(r)-restoreTime))
+		r.done = min(r.RunTime, r.done+max(0, e.elapsed(r)-restoreTime))
 		r.job.CheckpointedMs = r.done.Milliseconds()
 		took += time.Duration(e.random.Int64N(int64(checkpointTime)))
-		e.meter.lose(r, took+restoreTime)
+		e.meter.addLost(r, took+restoreTime)
 	} else {
-		e.meter.lose(r, e.ran(r)+took)
+		e.meter.addLost(r, e.elapsed(r)+took)
 	}
 	e.meter.preempted++
 	e.push(e.now+took, eventStopped, r)
--- a/internal/experiment/replay/meter.go
+++ b/internal/experiment/replay/meter.go
@@ -8,45 +8,50 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Result is what one policy made of one scenario.
+// Result is the outcome of one policy on one scenario.
 type Result struct {
 	Scenario string
 	Policy   string
-	// Completed counts jobs; Refused those that no worker has room for.
+	// Completed counts jobs that ended, Refused those that cannot fit on the workers,
+	// Unfinished those that did neither.
 	Completed, Refused, Unfinished int
 	// Completions are the times from submission to end, sorted.
 	Completions []time.Duration
 	Mean, P99   time.Duration
-	// LargeP99 is that of gangs of 16 accelerators and more.
+	// LargeP99 is the P99 of gangs of 16 accelerators and more.
 	LargeP99 time.Duration
-	// DeadlinesMet is a share of the jobs that had one.
+	// DeadlinesMet is the share of the completed jobs with a deadline that met it.
 	DeadlinesMet float64
 	// Fragmentation is the mean share of all accelerators that are free but of
 	// no use to a gang shape of the workload (Weng et al., USENIX ATC 2023).
 	Fragmentation float64
 	// Idle is the mean share of accelerators free while work waits for some.
 	Idle float64
-	// Lost is the share of used accelerator time that was thrown away.
-	Lost          float64
-	WorstTakeBack time.Duration
-	// Broken counts jobs within their customer's guarantee that did not start
-	// within the take-back bound.
-	Broken      int
-	Breaches    int
-	Preemptions int
-	MedianPass  time.Duration
+	// Lost is the share of used accelerator time that was wasted.
+	Lost float64
+	// LongestPreemptionWait is the longest time that a job waited for preempted gangs to
+	// stop before it started.
+	LongestPreemptionWait time.Duration
+	// BrokenGuarantees counts jobs within their customer's guarantee that did not start
+	// within guaranteedStartLimit.
+	BrokenGuarantees int
+	Breaches         int
+	Preemptions      int
+	MedianPass       time.Duration
 }
 
-// takeBackBound is a checkpoint, a stop and two passes.
-const takeBackBound = stopTime + checkpointTime + 2*passEvery
+// guaranteedStartLimit is the longest time in which a job within its guarantee may start:
+// a checkpoint, a stop and two passes.
+const guaranteedStartLimit = stopTime + checkpointTime + 2*passInterval
 
 type meter struct {
 	capacity float64
 	shapes   []weightedShape
-	// window sums over time while work arrives.
+	// fragmentation and idle are integrals of shares over the seconds of the arrival
+	// window; used and lost are in accelerator seconds.
 	fragmentation, idle, seconds float64
 	used, lost                   float64
-	worstTakeBack                time.Duration
+	longestPreemptionWait        time.Duration
 	refused, breaches, preempted int
 	passes                       []time.Duration
 }
@@ -56,7 +61,7 @@
 	weight float64
 }
 
-// start weighs the gang shapes of the workload by the accelerators they ask.
+// start weights the gang shapes of the workload by the accelerators that they request.
 func (m *meter) start(s *Scenario) {
 	weights := map[scheduling.Shape]float64{}
 	var sum float64
@@ -80,7 +85,7 @@
 	}
 }
 
-// advance adds up the time since the event before.
+// advance accounts for the time since the previous step.
 func (m *meter) advance(e *engine, passed time.Duration) {
 	seconds := passed.Seconds()
 	held := map[string]uint32{}
@@ -115,8 +120,8 @@
 	return free
 }
 
-// usable is the accelerators that gangs of one shape could use of what is free,
-// as many whole gangs as fit.
+// usable is the number of free accelerators that gangs of one shape could use, counting
+// whole gangs only.
 func usable(shape scheduling.Shape, free []scheduling.Worker) float64 {
 	type domain struct{ dataCentre, rack, worker string }
 	tasks := map[domain]uint32{}
@@ -139,17 +144,19 @@
 	return float64(sum)
 }
 
-func (m *meter) lose(r *run, ran time.Duration) {
-	m.lost += ran.Seconds() * float64(r.job.Tasks*r.job.Accelerators)
+func (m *meter) addLost(r *run, wasted time.Duration) {
+	m.lost += wasted.Seconds() * float64(r.job.Tasks*r.job.Accelerators)
 }
 
-func (m *meter) takeBack(took time.Duration) { m.worstTakeBack = max(m.worstTakeBack, took) }
+func (m *meter) recordPreemptionWait(took time.Duration) {
+	m.longestPreemptionWait = max(m.longestPreemptionWait, took)
+}
 
 func (e *engine) result() *Result {
 	m := &e.meter
 	r := &Result{
 		Scenario: e.scenario.Name, Policy: e.policy.Name, Refused: m.refused, Breaches: m.breaches,
-		Preemptions: m.preempted, WorstTakeBack: m.worstTakeBack,
+		Preemptions: m.preempted, LongestPreemptionWait: m.longestPreemptionWait,
 		Fragmentation: m.fragmentation / m.seconds, Idle: m.idle / m.seconds, Lost: m.lost / m.used,
 		MedianPass: quantile(slices.Sorted(slices.Values(m.passes)), 0.5),
 	}
@@ -163,10 +170,10 @@
 			r.Unfinished++
 			continue
 		}
-		took := run.ended - run.At
-		r.Completions = append(r.Completions, took)
+		completion := run.ended - run.At
+		r.Completions = append(r.Completions, completion)
 		if run.job.Tasks*run.job.Accelerators >= 16 {
-			large = append(large, took)
+			large = append(large, completion)
 		}
 		if run.job.DeadlineMs > 0 {
 			deadlines++
@@ -174,8 +181,8 @@
 				met++
 			}
 		}
-		if run.due && run.first-run.At > takeBackBound {
-			r.Broken++
+		if run.withinGuarantee && run.firstStart-run.At > guaranteedStartLimit {
+			r.BrokenGuarantees++
 		}
 	}
 	slices.Sort(r.Completions)
--- a/internal/experiment/replay/replay_test.go
+++ b/internal/experiment/replay/replay_test.go
@@ -7,10 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// Half a day at a size of today with every fault of the workload: no plan breaks
+// Half a day of a current deployment with every fault of the workload: no plan breaks
 // an invariant, no guarantee is broken, every job ends, no policy beats the lower
 // bound, and the same seed gives the same result.
-func TestReplayHoldsItsPromises(t *testing.T) {
+func TestReplayKeepsInvariantsAndBounds(t *testing.T) {
 	is := is.New(t)
 	deployment := Deployments()[0]
 	deployment.Window = 12 * time.Hour
@@ -22,7 +22,7 @@
 		is.Equal(result.Breaches, 0)
 		is.True(result.Mean >= bound)
 		if policy.Name == "pinewinch" {
-			is.Equal(result.Broken, 0)
+			is.Equal(result.BrokenGuarantees, 0)
 			is.True(result.Completed > 100)
 			again := Replay(deployment.Make(3), policy)
 			is.Equal(result.Completions, again.Completions)
--- a/internal/experiment/replay/report.go
+++ b/internal/experiment/replay/report.go
@@ -14,7 +14,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Row is one line of the table: a result beside first-fit and the bound.
+// Row is one row of the table: a result, that of first-fit on the same scenario and the
+// lower bound.
 type Row struct {
 	*Result
 	FirstFit *Result
@@ -28,9 +29,9 @@
 		"deadlines", "frag", "idle", "lost", "stops", "take-back", "broken", "breach", "pass")
 	for _, r := range rows {
 		err := table.Append(r.Scenario, r.Policy, fmt.Sprintf("%d+%d", r.Completed, r.Unfinished),
-			short(r.Mean), ratio(r.FirstFit.Mean, r.Mean), ratio(r.Mean, r.Bound), short(r.P99),
-			short(r.LargeP99), ratio(r.FirstFit.LargeP99, r.LargeP99), percent(r.DeadlinesMet), percent(r.Fragmentation),
-			percent(r.Idle), percent(r.Lost), r.Preemptions, r.WorstTakeBack.Round(time.Second), r.Broken, r.Breaches,
+			hours(r.Mean), ratio(r.FirstFit.Mean, r.Mean), ratio(r.Mean, r.Bound), hours(r.P99),
+			hours(r.LargeP99), ratio(r.FirstFit.LargeP99, r.LargeP99), percent(r.DeadlinesMet), percent(r.Fragmentation),
+			percent(r.Idle), percent(r.Lost), r.Preemptions, r.LongestPreemptionWait.Round(time.Second), r.BrokenGuarantees, r.Breaches,
 			r.MedianPass.Round(10*time.Microsecond))
 		if err != nil {
 			return failure.Wrap(failure.Internal, err, "table")
@@ -42,7 +43,7 @@
 	return nil
 }
 
-func short(d time.Duration) string { return fmt.Sprintf("%.2fh", d.Hours()) }
+func hours(d time.Duration) string { return fmt.Sprintf("%.2fh", d.Hours()) }
 
 func percent(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) }
 
@@ -53,10 +54,11 @@
 	return fmt.Sprintf("%.2f", float64(a)/float64(b))
 }
 
-// plotPoints is how many points a curve has.
+// plotPoints is the number of points of a curve.
 const plotPoints = 200
 
-// Plot draws the share of jobs completed within a time, one curve a policy.
+// Plot draws the distribution of completion times, one curve per policy, to a file whose
+// extension gives the format.
 func Plot(path string, rows []Row) error {
 	p := plot.New()
 	p.Title.Text = rows[0].Scenario + ": completion time"
--- a/internal/experiment/replay/workload.go
+++ b/internal/experiment/replay/workload.go
@@ -1,6 +1,6 @@
-// Package replay measures the scheduling decisions on seeded workloads with an
-// injected clock, beside two baselines in the same run. It is an event loop
-// around the pure pass and simulates no network, worker or log.
+// Package replay compares the scheduling pass with two baselines on seeded workloads in
+// simulated time. It is an event loop around the pass, which has no side effects, and
+// simulates no network, worker process or log.
 package replay
 
 import (
@@ -15,7 +15,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-// Scenario is a deployment with the work that arrives at it.
+// Scenario is a deployment with the jobs that arrive at it.
 type Scenario struct {
 	Name      string
 	Workers   []scheduling.Worker
@@ -23,25 +23,25 @@
 	Arrivals  []Arrival
 	// BadWorker fails every task that starts on it.
 	BadWorker string
-	// Window is how long work arrives.
+	// Window is the period in which jobs arrive.
 	Window time.Duration
-	// FragmentationWeight is that of the rules, 0 to 100.
+	// FragmentationWeight is the weight in the scheduling rules, 0 to 100.
 	FragmentationWeight uint32
 }
 
-// Arrival is one job with what its declaration does not tell.
+// Arrival is one job, including what its declaration does not contain.
 type Arrival struct {
 	At  time.Duration
 	Job *controlpb.Job
-	// RunTime is the true one.
+	// RunTime is the true run time.
 	RunTime time.Duration
-	// MemoryMB is what each task really needs.
+	// MemoryMB is the memory that each task really needs.
 	MemoryMB uint64
 	// CancelAt is when the caller cancels it, 0 for never.
 	CancelAt time.Duration
 }
 
-// Deployment names the sizes that scenarios are made for.
+// Deployment describes the size and the workload of a deployment.
 type Deployment struct {
 	Name         string
 	Workers      int
@@ -76,7 +76,7 @@
 	inDataCentre = controlpb.Adjacency_ADJACENCY_DATA_CENTRE
 )
 
-var todaysMix = []classMix{
+var currentMix = []classMix{
 	{name: "price", share: 45, tasks: 1, accelerators: 1, cores: 2, adjacency: anywhere, median: 10 * time.Minute, deadline: time.Hour},
 	{name: "blend", share: 20, tasks: 1, accelerators: 2, cores: 4, adjacency: onWorker, median: 20 * time.Minute},
 	{name: "span", share: 12, tasks: 2, accelerators: 2, cores: 6, adjacency: inRack, median: 40 * time.Minute, deadline: 4 * time.Hour},
@@ -97,14 +97,14 @@
 	{name: "call", share: 3, tasks: 1, accelerators: 1, cores: 2, adjacency: anywhere, median: 5 * time.Minute, deadline: 20 * time.Minute, urgent: true},
 }
 
-// Deployments lists the sizes: both of today's and the planned one.
+// Deployments lists the two current deployments and the planned one.
 func Deployments() []Deployment {
 	eight := func(int) uint32 { return 8 }
 	return []Deployment{
 		{Name: "coedlinell", Workers: 50, PerRack: 8, DataCentres: 3, Cores: 32, MemoryMB: 128 << 10,
-			Accelerators: eight, Customers: 4, Load: 0.95, Window: 48 * time.Hour, mix: todaysMix},
+			Accelerators: eight, Customers: 4, Load: 0.95, Window: 48 * time.Hour, mix: currentMix},
 		{Name: "tokachi", Workers: 50, PerRack: 6, DataCentres: 4, Cores: 128, MemoryMB: 256 << 10,
-			Accelerators: eight, Customers: 4, Load: 0.95, Window: 48 * time.Hour, mix: todaysMix},
+			Accelerators: eight, Customers: 4, Load: 0.95, Window: 48 * time.Hour, mix: currentMix},
 		{Name: "planned", Workers: 1900, PerRack: 20, DataCentres: 23, Cores: 32, MemoryMB: 128 << 10,
 			Accelerators: func(worker int) uint32 {
 				return [...]uint32{1, 0, 1, 2, 1, 1, 1, 2, 1, 1, 0, 1, 1, 2, 1, 1, 1, 2, 1, 0}[worker%20]
@@ -113,21 +113,21 @@
 	}
 }
 
-// Shares of the faults, from the brief.
+// Shares of jobs with each fault, as the requirements give them.
 const (
-	impossibleShare = 0.05
-	underSizedShare = 0.10
-	cancelShare     = 0.3
-	// longestRun bounds the log-normal true run times, in medians.
-	longestRun = 6
-	// wrongBy bounds declared over true run time, both ways.
-	wrongBy = 10
+	impossibleShare          = 0.05
+	underdeclaredMemoryShare = 0.10
+	cancelShare              = 0.3
+	// maxRunTime limits the log-normal true run times, as a multiple of the median.
+	maxRunTime = 6
+	// maxEstimateError limits the factor between declared and true run time, both ways.
+	maxEstimateError = 10
 )
 
-// Make builds the deployment's scenario of one seed.
+// Make generates the deployment's scenario of a seed.
 func (d Deployment) Make(seed uint64) *Scenario {
-	m := &maker{Deployment: d, random: rand.New(rand.NewPCG(seed, 1)), bias: map[string]float64{}}
-	s := &Scenario{Name: d.Name, Window: d.Window, Customers: m.customers()}
+	g := &generator{Deployment: d, random: rand.New(rand.NewPCG(seed, 1)), bias: map[string]float64{}}
+	s := &Scenario{Name: d.Name, Window: d.Window, Customers: g.customers()}
 	for i := range d.Workers {
 		rack := i / d.PerRack
 		racks := (d.Workers + d.PerRack - 1) / d.PerRack
@@ -136,19 +136,19 @@
 			Cores: d.Cores, MemoryMB: d.MemoryMB, Accelerators: d.Accelerators(i),
 		})
 	}
-	s.BadWorker = s.Workers[m.random.IntN(d.Workers)].ID
-	s.Arrivals = m.arrivals(m.accelerators(s.Workers))
+	s.BadWorker = s.Workers[g.random.IntN(d.Workers)].ID
+	s.Arrivals = g.arrivals(g.accelerators(s.Workers))
 	return s
 }
 
-type maker struct {
+type generator struct {
 	Deployment
 	random *rand.Rand
 	bias   map[string]float64
 	made   int
 }
 
-func (m *maker) accelerators(workers []scheduling.Worker) float64 {
+func (g *generator) accelerators(workers []scheduling.Worker) float64 {
 	var sum float64
 	for _, worker := range workers {
 		sum += float64(worker.Accelerators)
@@ -156,10 +156,11 @@
 	return sum
 }
 
-// customers: a few large ones. About 45% of the accelerators are guaranteed.
-func (m *maker) customers() map[string]*controlpb.Customer {
+// customers makes a few large customers and many small ones. About 45% of the
+// accelerators are guaranteed.
+func (g *generator) customers() map[string]*controlpb.Customer {
 	customers := map[string]*controlpb.Customer{}
-	for i := range m.Customers {
+	for i := range g.Customers {
 		shape := &controlpb.Shape{Sets: 2, Accelerators: 8, Adjacency: inRack}
 		weight := uint32(1)
 		switch i % 10 {
@@ -170,7 +171,7 @@
 		case 2:
 			shape, weight = &controlpb.Shape{Sets: 2, Accelerators: 16, Adjacency: inRack}, 2
 		}
-		if m.Workers > 1000 {
+		if g.Workers > 1000 {
 			shape = &controlpb.Shape{Sets: 1, Accelerators: shape.Sets * shape.Accelerators / 4, Adjacency: inRack}
 		}
 		name := fmt.Sprintf("c%02d", i)
@@ -179,50 +180,50 @@
 	return customers
 }
 
-// arrivals fills the window: half of the work alone, half in bursts of one
+// arrivals fills the window: half of the work as single jobs, half in bursts of one
 // customer, and a wave of cancellations every six hours.
-func (m *maker) arrivals(accelerators float64) []Arrival {
-	area := m.Load * accelerators * m.Window.Seconds()
+func (g *generator) arrivals(accelerators float64) []Arrival {
+	area := g.Load * accelerators * g.Window.Seconds()
 	var arrivals []Arrival
 	for area > 0 {
-		at := time.Duration(m.random.Float64() * float64(m.Window))
-		customer := m.customer()
+		at := time.Duration(g.random.Float64() * float64(g.Window))
+		customer := g.customer()
 		count := 1
-		if m.random.IntN(40) == 0 {
-			count = 20 + m.random.IntN(40)
+		if g.random.IntN(40) == 0 {
+			count = 20 + g.random.IntN(40)
 		}
 		for range count {
-			arrival := m.arrival(at+time.Duration(m.random.Float64()*float64(2*time.Minute)), customer)
+			arrival := g.arrival(at+time.Duration(g.random.Float64()*float64(2*time.Minute)), customer)
 			arrivals = append(arrivals, arrival)
 			if arrival.Job.Tasks < impossibleTasks {
 				area -= arrival.RunTime.Seconds() * float64(arrival.Job.Tasks*arrival.Job.Accelerators)
 			}
 		}
 	}
-	m.cancel(arrivals)
+	g.cancel(arrivals)
 	slices.SortStableFunc(arrivals, func(a, b Arrival) int { return cmp.Compare(a.At, b.At) })
 	return arrivals
 }
 
-func (m *maker) customer() string {
-	i := int(float64(m.Customers) * math.Pow(m.random.Float64(), 2))
+func (g *generator) customer() string {
+	i := int(float64(g.Customers) * math.Pow(g.random.Float64(), 2))
 	return fmt.Sprintf("c%02d", i)
 }
 
-// impossibleTasks is more than any deployment has room for in one rack.
+// impossibleTasks is more tasks than fit on one rack of any deployment.
 const impossibleTasks = 1000
 
-func (m *maker) arrival(at time.Duration, customer string) Arrival {
-	class := m.class()
-	m.made++
-	ran := time.Duration(float64(class.median) * math.Exp(m.random.NormFloat64()))
-	ran = min(max(ran, 30*time.Second), longestRun*class.median)
-	if m.bias[class.name] == 0 {
-		m.bias[class.name] = math.Pow(wrongBy, 1.4*m.random.Float64()-0.7)
+func (g *generator) arrival(at time.Duration, customer string) Arrival {
+	class := g.class()
+	g.made++
+	runTime := time.Duration(float64(class.median) * math.Exp(g.random.NormFloat64()))
+	runTime = min(max(runTime, 30*time.Second), maxRunTime*class.median)
+	if g.bias[class.name] == 0 {
+		g.bias[class.name] = math.Pow(maxEstimateError, 1.4*g.random.Float64()-0.7)
 	}
-	declared := float64(ran) * m.bias[class.name] * math.Pow(wrongBy, 0.6*m.random.Float64()-0.3)
+	declared := float64(runTime) * g.bias[class.name] * math.Pow(maxEstimateError, 0.6*g.random.Float64()-0.3)
 	job := &controlpb.Job{
-		Id: fmt.Sprintf("j%06d", m.made), Customer: customer, WorkClass: class.name,
+		Id: fmt.Sprintf("j%06d", g.made), Customer: customer, WorkClass: class.name,
 		Tasks: class.tasks, Accelerators: class.accelerators, Adjacency: class.adjacency,
 		Cores: class.cores, MemoryMb: uint64(class.cores) * 2048, Urgent: class.urgent,
 		RunTimeMs: time.Duration(declared).Milliseconds(), SubmittedMs: at.Milliseconds(),
@@ -231,39 +232,39 @@
 	if class.deadline > 0 {
 		job.DeadlineMs = (at + class.deadline).Milliseconds()
 	}
-	kind := m.random.Float64()
+	kind := g.random.Float64()
 	job.Checkpointable = kind < 0.6
 	job.Idempotent = kind < 0.85
-	arrival := Arrival{At: at, Job: job, RunTime: ran, MemoryMB: job.MemoryMb}
-	if m.random.Float64() < underSizedShare {
-		job.MemoryMb /= 1 + uint64(m.random.IntN(wrongBy))
+	arrival := Arrival{At: at, Job: job, RunTime: runTime, MemoryMB: job.MemoryMb}
+	if g.random.Float64() < underdeclaredMemoryShare {
+		job.MemoryMb /= 1 + uint64(g.random.IntN(maxEstimateError))
 	}
-	if m.random.Float64() < impossibleShare {
+	if g.random.Float64() < impossibleShare {
 		job.Tasks, job.Adjacency, job.Accelerators = impossibleTasks, inRack, 1
 	}
 	return arrival
 }
 
-func (m *maker) class() classMix {
+func (g *generator) class() classMix {
 	var sum float64
-	for _, class := range m.mix {
+	for _, class := range g.mix {
 		sum += class.share
 	}
-	at := m.random.Float64() * sum
-	for _, class := range m.mix {
+	at := g.random.Float64() * sum
+	for _, class := range g.mix {
 		if at -= class.share; at < 0 {
 			return class
 		}
 	}
-	return m.mix[0]
+	return g.mix[0]
 }
 
-func (m *maker) cancel(arrivals []Arrival) {
-	for wave := 6 * time.Hour; wave < m.Window; wave += 6 * time.Hour {
-		customer := m.customer()
+func (g *generator) cancel(arrivals []Arrival) {
+	for wave := 6 * time.Hour; wave < g.Window; wave += 6 * time.Hour {
+		customer := g.customer()
 		for i := range arrivals {
 			a := &arrivals[i]
-			if a.Job.Customer == customer && a.At < wave && a.At > wave-time.Hour && m.random.Float64() < cancelShare {
+			if a.Job.Customer == customer && a.At < wave && a.At > wave-time.Hour && g.random.Float64() < cancelShare {
 				a.CancelAt = wave
 			}
 		}
