--- a/internal/experiment/gangs/check.go
+++ b/internal/experiment/gangs/check.go
@@ -12,62 +12,63 @@
 // Kind of a violation.
 type Kind string
 
-// The kinds: what must not have happened.
+// The kinds of violations.
 const (
-	TwoRuns        Kind = "an accelerator in two runs"
-	PartAlone      Kind = "a part of a gang ran alone for too long"
-	TwoEpochs      Kind = "two epochs of a gang at once"
-	PartStarted    Kind = "a gang started before all was reserved"
-	Forgotten      Kind = "a job forgotten or without an end"
-	NoEvidence     Kind = "a job parked without evidence"
-	NotWhole       Kind = "completed without a whole run"
-	RunAgain       Kind = "run again after its end"
-	DoneTwice      Kind = "done twice"
-	WorkInvented   Kind = "a checkpoint that no run made"
-	TakeBackLate   Kind = "guaranteed work started too late"
-	CancelIgnored  Kind = "a cancellation without effect"
-	EntryNotOnce   Kind = "an occurrence of an entry without one job"
-	RunsAfterEnded Kind = "still running when its job had ended"
+	AcceleratorShared       Kind = "an accelerator in two runs"
+	PartialRun              Kind = "a part of a gang ran alone for too long"
+	EpochsOverlap           Kind = "two epochs of a gang at once"
+	StartedBeforeReserved   Kind = "a gang started before all was reserved"
+	JobLost                 Kind = "a job forgotten or without an end"
+	ParkedWithoutFailure    Kind = "a job parked without evidence"
+	CompletedWithoutFullRun Kind = "completed without a whole run"
+	RanAfterCompletion      Kind = "run again after its end"
+	TaskCompletedTwice      Kind = "done twice"
+	UnknownCheckpoint       Kind = "a checkpoint that no run made"
+	PreemptionLate          Kind = "guaranteed work started too late"
+	CancelIgnored           Kind = "a cancellation without effect"
+	OccurrenceMismatch      Kind = "an occurrence of an entry without one job"
+	RunningAfterEnd         Kind = "still running when its job had ended"
 )
 
-// Violation is one thing that must not have happened.
+// Violation is one detected violation of the promised behaviour.
 type Violation struct {
 	Kind   Kind
 	Detail string
 }
 
-// Report counts what happened and lists what must not have.
+// Report holds counts of a run and the violations found.
 type Report struct {
 	Jobs, Completed, Cancelled, Parked int
 	Runs, Epochs, Broken               int
-	// Repeated counts idempotent gangs that ran again after a whole run whose end
-	// a failure hid.
+	// Repeated counts idempotent gangs that ran again after a complete run whose end was
+	// not reported because of a failure.
 	Repeated int
-	// LongestAlone is the longest time that a part of a gang ran alone, and
-	// LongestTakeBack the longest from asking to the start of guaranteed work.
-	LongestAlone, LongestTakeBack time.Duration
-	// QuietTakeBacks counts those during which nothing failed.
+	// LongestPartialRun is the longest time in which only part of a gang ran, and
+	// LongestPreemption the longest from the submission to the start of guaranteed work.
+	LongestPartialRun, LongestPreemption time.Duration
+	// QuietTakeBacks counts the starts of guaranteed work during which nothing failed.
 	QuietTakeBacks int
-	// QuietStops counts the runs that were stopped for them, and SurelyTakenBack those of
-	// jobs that were stopped more often than they failed: a take-back was among the stops.
+	// QuietStops counts the runs that were stopped during those, and SurelyTakenBack the
+	// ones of jobs that were stopped more often than they failed: at least one of the stops
+	// was a preemption.
 	QuietStops, SurelyTakenBack int
-	// LongestStart is the longest time between the first and the last task's start.
+	// LongestStart is the longest time between the starts of a gang's first and last task.
 	LongestStart time.Duration
 	Violations   []Violation
 }
 
-// String gives the report on one line.
+// String formats the report on one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("%d jobs: %d completed, %d cancelled, %d parked; %d runs in %d epochs, %d of them broken, %d repeated; longest start %s, longest part alone %s, longest take-back %s, %d quiet; %d violations",
 		r.Jobs, r.Completed, r.Cancelled, r.Parked, r.Runs, r.Epochs, r.Broken, r.Repeated,
-		r.LongestStart.Round(time.Millisecond), r.LongestAlone.Round(time.Millisecond), r.LongestTakeBack.Round(time.Millisecond), r.QuietTakeBacks, len(r.Violations))
+		r.LongestStart.Round(time.Millisecond), r.LongestPartialRun.Round(time.Millisecond), r.LongestPreemption.Round(time.Millisecond), r.QuietTakeBacks, len(r.Violations))
 }
 
 func (r *Report) add(kind Kind, format string, args ...any) {
 	r.Violations = append(r.Violations, Violation{kind, fmt.Sprintf(format, args...)})
 }
 
-// check carries one evidence through the checks.
+// check is the state of one call of Check.
 type check struct {
 	*Evidence
 	*Report
@@ -75,7 +76,7 @@
 	byName map[string][]*epoch
 }
 
-// Check judges a run.
+// Check checks the evidence of a run for violations.
 func Check(evidence *Evidence) *Report {
 	c := &check{Evidence: evidence, Report: &Report{}, jobs: map[string]api.Job{}, byName: map[string][]*epoch{}}
 	c.Report.Runs = len(evidence.Runs)
@@ -84,25 +85,25 @@
 	}
 	for _, e := range evidence.epochs() {
 		c.Report.Epochs++
-		c.oneAtATime(e)
-		c.started(e)
-		c.alone(e)
+		c.checkEpochsDisjoint(e)
+		c.checkReservedBeforeStart(e)
+		c.checkPartialRuns(e)
 		c.byName[e.job] = append(c.byName[e.job], e)
 	}
-	c.accelerators()
+	c.checkAccelerators()
 	for _, job := range evidence.Jobs {
-		c.ended(job)
+		c.checkJob(job)
 	}
 	for _, submitted := range evidence.Submitted {
-		c.submitted(submitted)
+		c.checkSubmitted(submitted)
 	}
-	c.occurrences()
+	c.checkOccurrences()
 	return c.Report
 }
 
-// accelerators looks for two runs on one accelerator. A worker refuses the
-// second, so its refusal says as much as an overlap.
-func (c *check) accelerators() {
+// checkAccelerators reports accelerators that were given to two runs at once. A worker
+// refuses the second, so its refusal counts as much as an overlap.
+func (c *check) checkAccelerators() {
 	type accelerator struct {
 		worker string
 		number uint32
@@ -110,7 +111,7 @@
 	held := map[accelerator][]tasks.Run{}
 	for _, run := range c.Evidence.Runs {
 		if run.Ending == tasks.Refused {
-			c.add(TwoRuns, "%s refused task %d of %s epoch %d at %s on %v", run.Worker, run.Task, run.Job, run.Epoch, clock(run.Reserved), run.Accelerators)
+			c.add(AcceleratorShared, "%s refused task %d of %s epoch %d at %s on %v", run.Worker, run.Task, run.Job, run.Epoch, clock(run.Reserved), run.Accelerators)
 			continue
 		}
 		for _, number := range run.Accelerators {
@@ -122,15 +123,15 @@
 		slices.SortFunc(runs, func(a, b tasks.Run) int { return a.Reserved.Compare(b.Reserved) })
 		for i := 1; i < len(runs); i++ {
 			if before := runs[i-1]; before.Ended.IsZero() || before.Ended.After(runs[i].Reserved) {
-				c.add(TwoRuns, "%s/%d: %s epoch %d and %s epoch %d", at.worker, at.number, before.Job, before.Epoch, runs[i].Job, runs[i].Epoch)
+				c.add(AcceleratorShared, "%s/%d: %s epoch %d and %s epoch %d", at.worker, at.number, before.Job, before.Epoch, runs[i].Job, runs[i].Epoch)
 			}
 		}
 	}
 }
 
-// started wants every task reserved before the first began.
-func (c *check) started(e *epoch) {
-	first, _, _ := e.began(len(e.runs))
+// checkReservedBeforeStart requires that every task was reserved before the first started.
+func (c *check) checkReservedBeforeStart(e *epoch) {
+	first, _, _ := e.startTimes(len(e.runs))
 	if first.IsZero() {
 		return
 	}
@@ -141,33 +142,34 @@
 		}
 	}
 	if size := c.size(e.job); reserved < size {
-		c.add(PartStarted, "%d of %d reserved: %s", reserved, size, e)
+		c.add(StartedBeforeReserved, "%d of %d reserved: %s", reserved, size, e)
 	}
 }
 
-// oneAtATime wants every run of an earlier epoch over before the next one starts.
-func (c *check) oneAtATime(e *epoch) {
-	first, _, _ := e.began(len(e.runs))
+// checkEpochsDisjoint requires that all runs of earlier epochs ended before the next one
+// started.
+func (c *check) checkEpochsDisjoint(e *epoch) {
+	first, _, _ := e.startTimes(len(e.runs))
 	if first.IsZero() {
 		return
 	}
 	for _, before := range c.byName[e.job] {
 		for task, run := range before.runs {
 			if run.Ended.IsZero() || run.Ended.After(first) {
-				c.add(TwoEpochs, "task %d still ran: %s; then %s", task, before, e)
+				c.add(EpochsOverlap, "task %d still ran: %s; then %s", task, before, e)
 			}
 		}
 	}
 }
 
-// alone measures how long some tasks ran on while another of the gang did not
-// and never would: it had failed, was stopped, or had never begun.
-func (c *check) alone(e *epoch) {
+// checkPartialRuns measures how long tasks of a gang ran while another one no longer could:
+// it had failed, was stopped, or had never started.
+func (c *check) checkPartialRuns(e *epoch) {
 	var broken time.Time
-	first, last, all := e.began(c.size(e.job))
+	first, last, all := e.startTimes(c.size(e.job))
 	c.LongestStart = max(c.LongestStart, last.Sub(first))
 	if skew := last.Sub(first); skew > c.Bounds.Alone {
-		c.add(PartAlone, "%s apart, bound %s: %s", skew, c.Bounds.Alone, e)
+		c.add(PartialRun, "%s apart, bound %s: %s", skew, c.Bounds.Alone, e)
 	}
 	for _, run := range e.runs {
 		if run.Ending != tasks.Completed && !run.Ended.IsZero() && (broken.IsZero() || run.Ended.Before(broken)) {
@@ -188,10 +190,10 @@
 			end = later(end, run.Ended)
 		}
 	}
-	lasted := later(end, last).Sub(broken)
-	c.LongestAlone = max(c.LongestAlone, lasted)
-	if lasted > c.Bounds.Alone {
-		c.add(PartAlone, "%s, bound %s: %s", lasted, c.Bounds.Alone, e)
+	took := later(end, last).Sub(broken)
+	c.LongestPartialRun = max(c.LongestPartialRun, took)
+	if took > c.Bounds.Alone {
+		c.add(PartialRun, "%s, bound %s: %s", took, c.Bounds.Alone, e)
 	}
 }
 
--- a/internal/experiment/gangs/client.go
+++ b/internal/experiment/gangs/client.go
@@ -15,41 +15,41 @@
 )
 
 const (
-	callTime  = 2 * time.Second
-	retryWait = 50 * time.Millisecond
+	callTimeout   = 2 * time.Second
+	retryInterval = 50 * time.Millisecond
 )
 
-// Client asks any instance, as behind a balancer, and asks the next one for as
-// long as it has no answer. It is safe for several goroutines.
+// Client sends calls to the instances in turn, as a load balancer would, and retries at
+// the next instance until there is an answer. It is safe for concurrent use.
 type Client struct {
-	// Servers are the instances.
+	// Servers are the base URLs of the instances.
 	Servers []string
-	turn    atomic.Uint64
+	next    atomic.Uint64
 }
 
-// Submit submits one job until it is accepted; the same key gets the same job
-// however often it is sent. A refusal that waiting can't change ends it.
+// Submit submits a job and retries until it is accepted; the same key gets the same job
+// however often it is sent. It returns the error of a permanent refusal.
 func (c *Client) Submit(ctx context.Context, token, class, key string) (*api.Job, error) {
-	return c.insist(ctx, http.MethodPost, api.PathJobs, token, api.SubmitRequest{Key: key, WorkClass: class})
+	return c.retry(ctx, http.MethodPost, api.PathJobs, token, api.SubmitRequest{Key: key, WorkClass: class})
 }
 
-// Cancel cancels a job.
+// Cancel cancels a job, with the retries of Submit.
 func (c *Client) Cancel(ctx context.Context, token, id string) (*api.Job, error) {
-	return c.insist(ctx, http.MethodDelete, jobPath(id), token, nil)
+	return c.retry(ctx, http.MethodDelete, jobPath(id), token, nil)
 }
 
-// Job gives one job.
+// Job returns a job, with the retries of Submit.
 func (c *Client) Job(ctx context.Context, token, id string) (*api.Job, error) {
-	return c.insist(ctx, http.MethodGet, jobPath(id), token, nil)
+	return c.retry(ctx, http.MethodGet, jobPath(id), token, nil)
 }
 
-// Jobs lists every job that an instance knows of.
+// Jobs lists all jobs known to the next instance, without retries.
 func (c *Client) Jobs(ctx context.Context, token string) ([]api.Job, error) {
 	var jobs []api.Job
 	return jobs, c.call(ctx, http.MethodGet, api.PathJobs, token, nil, &jobs)
 }
 
-// Leader names the instance that leads, as the next instance sees it.
+// Leader returns the current leader as the next instance knows it, without retries.
 func (c *Client) Leader(ctx context.Context, token string) (string, error) {
 	status := api.Status{}
 	err := c.call(ctx, http.MethodGet, api.PathStatus, token, nil, &status)
@@ -58,7 +58,7 @@
 
 func jobPath(id string) string { return strings.Replace(api.PathJob, "{id}", id, 1) }
 
-func (c *Client) insist(ctx context.Context, method, path, token string, body any) (*api.Job, error) {
+func (c *Client) retry(ctx context.Context, method, path, token string, body any) (*api.Job, error) {
 	for {
 		job := &api.Job{}
 		err := c.call(ctx, method, path, token, body, job)
@@ -69,20 +69,20 @@
 		case failure.Infeasible, failure.BadRequest, failure.Conflict:
 			return nil, err
 		}
-		if !control.Pause(ctx, retryWait) {
+		if !control.Pause(ctx, retryInterval) {
 			return nil, err
 		}
 	}
 }
 
 func (c *Client) call(ctx context.Context, method, path, token string, body, reply any) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	text, err := json.Marshal(body)
 	if err != nil {
 		return failure.Wrap(failure.BadRequest, err, "body")
 	}
-	server := c.Servers[c.turn.Add(1)%uint64(len(c.Servers))]
+	server := c.Servers[c.next.Add(1)%uint64(len(c.Servers))]
 	request, err := http.NewRequestWithContext(ctx, method, server+path, bytes.NewReader(text))
 	if err != nil {
 		return failure.Wrap(failure.BadRequest, err, "request")
--- a/internal/experiment/gangs/evidence.go
+++ b/internal/experiment/gangs/evidence.go
@@ -1,5 +1,5 @@
-// Package gangs checks what became of gang jobs while instances and workers were
-// failing: the workers' own records of what ran against what callers were told.
+// Package gangs generates load of gang jobs and checks, after a run in which instances and
+// workers failed, what callers were told against the workers' own records of what ran.
 package gangs
 
 import (
@@ -12,7 +12,7 @@
 	"pinewinch.example/pinewinch/internal/standin/tasks"
 )
 
-// Class is what the checks need to know of a class of work.
+// Class describes a class of work as far as the checks need it.
 type Class struct {
 	Name       string
 	Tasks      int
@@ -23,57 +23,58 @@
 type Submitted struct {
 	ID    string
 	Class string
-	// Asked is when it was first sent; Cancelled is that its cancellation was
-	// accepted, and CancelAsked when that was first sent: zero for never.
-	Asked       time.Time
-	Cancelled   bool
-	CancelAsked time.Time
-	// Guaranteed work can be taken back for, within Bounds.TakeBack.
+	// SubmittedAt is when it was first sent. Cancelled is set if its cancellation was
+	// accepted, and CancelRequestedAt is when that was first sent, zero for never.
+	SubmittedAt       time.Time
+	Cancelled         bool
+	CancelRequestedAt time.Time
+	// Guaranteed is set for work within its customer's guarantee: other work is preempted
+	// for it, and it starts within Bounds.TakeBack.
 	Guaranteed bool
 }
 
-// Span is a time during which something of the system was failing.
+// Span is a period in which some part of the system was failing.
 type Span struct{ From, To time.Time }
 
-// Bounds are the promised times, all from the settings.
+// Bounds are the promised limits, all derived from the settings.
 type Bounds struct {
-	// Alone is how long a part of a gang may run in the worst case.
+	// Alone is how long only part of a gang may run in the worst case.
 	Alone time.Duration
-	// TakeBack is from the submission of guaranteed work to its start, without the
-	// time in which something was failing. Quiet is the same where nothing fails
-	// within QuietWindow; 0 for no such check.
+	// TakeBack limits the time from the submission of guaranteed work to its start, not
+	// counting the time in which something was failing. Quiet is the limit if nothing
+	// fails within QuietWindow; 0 for no such check.
 	TakeBack time.Duration
 	Quiet    time.Duration
-	// QuietWindow after its submission must be free of failures for a take-back
-	// to count as quiet; what fails later does not excuse it.
+	// QuietWindow is the time after the submission that must be free of failures for
+	// Quiet to apply; a later failure does not extend that limit.
 	QuietWindow time.Duration
-	// Recovery is how long after the end of a failure the instances may need.
+	// Recovery is the time that the instances may need after the end of a failure.
 	Recovery time.Duration
 }
 
-// Evidence is everything that is known after a run.
+// Evidence is everything recorded in a run.
 type Evidence struct {
 	Bounds    Bounds
 	Classes   map[string]Class
 	Submitted []Submitted
-	// Occurrences are the ids of the jobs that declared entries must have made.
+	// Occurrences are the ids of the jobs that the declared entries must have created.
 	Occurrences []string
-	// Jobs are all that an instance lists in the end.
+	// Jobs are the jobs that an instance lists at the end.
 	Jobs []api.Job
-	// Runs are the records of all workers, also of those that crashed.
+	// Runs are the records of all workers, including those that crashed.
 	Runs     []tasks.Run
 	Failures []Span
 }
 
-// epoch is one try of a gang.
+// epoch is one attempt to run a gang.
 type epoch struct {
 	job    string
 	number uint64
-	// runs are the runs of its tasks, without those that were refused.
+	// runs holds the runs by task, without those that a worker refused.
 	runs map[uint32]tasks.Run
 }
 
-// epochs sorts the runs by job and epoch, oldest first.
+// epochs groups the runs by job and epoch, sorted by job and then by epoch.
 func (e *Evidence) epochs() []*epoch {
 	type key struct {
 		job    string
@@ -98,19 +99,19 @@
 	return all
 }
 
-// whole tells that every task of the gang ran to its end.
-func (e *epoch) whole(size int) bool {
-	completed := 0
+// completed reports whether every task of the gang completed.
+func (e *epoch) completed(size int) bool {
+	count := 0
 	for _, run := range e.runs {
 		if run.Ending == tasks.Completed {
-			completed++
+			count++
 		}
 	}
-	return completed == size
+	return count == size
 }
 
-// began is when the first and the last task began; ok is false if not all did.
-func (e *epoch) began(size int) (first, last time.Time, ok bool) {
+// startTimes returns when the first and the last task started; ok is false if not all did.
+func (e *epoch) startTimes(size int) (first, last time.Time, ok bool) {
 	count := 0
 	for _, run := range e.runs {
 		if run.Began.IsZero() {
