--- a/internal/experiment/slots/credits.go
+++ b/internal/experiment/slots/credits.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	tick = 5 * time.Millisecond
-	// longDeadline stands for no deadline.
-	longDeadline = time.Hour
+	tickInterval = 5 * time.Millisecond
+	// noDeadline is the deadline of requests without one.
+	noDeadline = time.Hour
 )
 
-var zero = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var simulationStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// credits runs the real policies of all instances.
+// credits runs the real admission policy of every instance.
 type credits struct {
 	*run
-	policies []*admission.Policy
-	ticking  []bool
-	names    map[string]int
-	minions  map[string]int
-	loans    bool
+	policies  []*admission.Policy
+	ticking   []bool
+	instances map[string]int
+	minions   map[string]int
+	loans     bool
 }
 
-// Credits shares the slots as credits and lends idle ones.
-func Credits(c Config) Result { return playCredits(c, "credits and loans", true) }
+// Credits simulates slots split among the instances as credits, with loans of idle ones.
+func Credits(c Config) Result { return runCredits(c, "credits and loans", true) }
 
-// CreditsAlone shares the slots as credits without loans.
-func CreditsAlone(c Config) Result { return playCredits(c, "credits, no loans", false) }
+// CreditsWithoutLoans simulates slots split among the instances as credits that are never
+// lent.
+func CreditsWithoutLoans(c Config) Result { return runCredits(c, "credits, no loans", false) }
 
-func playCredits(c Config, name string, loans bool) Result {
-	w := &credits{run: newRun(c, name), names: map[string]int{}, minions: map[string]int{}, loans: loans}
+func runCredits(c Config, name string, loans bool) Result {
+	w := &credits{run: newRun(c, name), instances: map[string]int{}, minions: map[string]int{}, loans: loans}
 	w.ticking = make([]bool, c.Instances)
 	view := w.view()
 	for _, member := range view.Members {
 		w.policies = append(w.policies, admission.New(admission.Config{Self: member, QueueLength: 1024}, 1))
 	}
 	for i, policy := range w.policies {
-		w.perform(i, policy.SetView(w.time(), view))
+		w.executeAll(i, policy.SetView(w.time(), view))
 	}
-	w.settle(view)
-	return w.play(w)
+	w.connectMembers(view)
+	return w.simulate(w)
 }
 
 func (w *credits) view() admission.View {
 	view := admission.View{Epoch: 1}
 	for i := range w.config.Instances {
 		name := fmt.Sprintf("i%d", i)
-		w.names[name] = i
+		w.instances[name] = i
 		view.Members = append(view.Members, name)
 	}
 	for i := range w.config.Minions {
@@ -63,74 +64,75 @@
 	return view
 }
 
-// settle lets every instance hear every other once.
-func (w *credits) settle(view admission.View) {
+// connectMembers confirms every instance to every other one, so that all credits are
+// usable.
+func (w *credits) connectMembers(view admission.View) {
 	for i, policy := range w.policies {
 		for _, member := range view.Members {
 			policy.Ledger().Confirm(member, view.Epoch, nil)
 			policy.Ledger().Reconcile(member, nil)
 		}
-		w.perform(i, policy.SetView(w.time(), view))
+		w.executeAll(i, policy.SetView(w.time(), view))
 	}
 }
 
-func (w *credits) time() time.Time { return zero.Add(w.now) }
+func (w *credits) time() time.Time { return simulationStart.Add(w.now) }
 
 func (w *credits) arrive(r *request) {
-	deadline := longDeadline
+	deadline := noDeadline
 	if w.config.Deadline > 0 {
 		deadline = w.config.Deadline
 	}
-	sent := &admission.Request{
+	request := &admission.Request{
 		Customer: fmt.Sprintf("c%d", r.customer),
 		Service:  "s",
 		Deadline: w.time().Add(deadline),
 		Owner:    r,
 	}
-	w.perform(r.instance, w.policies[r.instance].Arrive(w.time(), sent))
+	w.executeAll(r.instance, w.policies[r.instance].Arrive(w.time(), request))
 }
 
-func (w *credits) perform(i int, actions []admission.Action) {
+func (w *credits) executeAll(i int, actions []admission.Action) {
 	for _, action := range actions {
-		w.act(i, action)
+		w.execute(i, action)
 	}
 	if w.policies[i].Busy() && !w.ticking[i] {
 		w.ticking[i] = true
-		w.after(tick, func() {
+		w.after(tickInterval, func() {
 			w.ticking[i] = false
-			w.perform(i, w.policies[i].Tick(w.time()))
+			w.executeAll(i, w.policies[i].Tick(w.time()))
 		})
 	}
 }
 
-func (w *credits) act(i int, action admission.Action) {
+func (w *credits) execute(i int, action admission.Action) {
 	switch a := action.(type) {
 	case admission.Start:
 		r := a.Attempt.Request.Owner.(*request)
 		w.serve(w.minions[a.Attempt.Minion.ID], r, func() {
-			w.perform(i, w.policies[i].Done(w.time(), a.Attempt, admission.Result{Outcome: admission.Answered}))
+			w.executeAll(i, w.policies[i].Done(w.time(), a.Attempt, admission.Result{Outcome: admission.Answered}))
 		})
 	case admission.Finish:
 		w.answer(a.Request.Owner.(*request))
 	case admission.Refuse:
 		w.result.Refused++
 	case admission.SendBorrowRequest:
-		w.ask(i, w.names[a.To], a.Request)
+		w.sendBorrowRequest(i, w.instances[a.To], a.Request)
 	case admission.SendBorrowReply:
 		w.result.Messages++
-		to := w.names[a.To]
+		to := w.instances[a.To]
 		w.after(w.config.Hop, func() {
-			w.perform(to, w.policies[to].HandleBorrowReply(w.time(), fmt.Sprintf("i%d", i), a.Reply, true))
+			w.executeAll(to, w.policies[to].HandleBorrowReply(w.time(), fmt.Sprintf("i%d", i), a.Reply, true))
 		})
 	}
 }
 
-func (w *credits) ask(from, to int, ask admission.BorrowRequest) {
+func (w *credits) sendBorrowRequest(from, to int, borrow admission.BorrowRequest) {
 	if !w.loans {
 		return
 	}
 	w.result.Messages++
 	w.after(w.config.Hop, func() {
-		w.perform(to, w.policies[to].HandleBorrowRequest(w.time(), fmt.Sprintf("i%d", from), ask))
+		w.executeAll(to, w.policies[to].HandleBorrowRequest(w.time(), fmt.Sprintf("i%d", from), borrow))
 	})
 }
--- a/internal/experiment/slots/sim.go
+++ b/internal/experiment/slots/sim.go
@@ -1,6 +1,6 @@
-// Package slots measures ways to share minions' slots among entry instances in
-// a seeded event loop: no socket, no clock, the same figures on every run. The
-// way that is built runs its real policy.
+// Package slots compares policies that share the slots of minions among entry instances.
+// It is a seeded discrete-event simulation without sockets or a real clock, so that every
+// run gives the same figures. Credits run the real admission policy.
 package slots
 
 import (
@@ -12,45 +12,47 @@
 	"pinewinch.example/pinewinch/internal/experiment/timeline"
 )
 
-// Config of one run.
+// Config configures one run.
 type Config struct {
 	Seed      uint64
 	Instances int
 	Minions   int
 	Slots     int
-	// Mean service time and its coefficient of variation (lognormal; 1 is
-	// exponential).
+	// Mean is the mean service time, Variation its coefficient of variation. The
+	// distribution is lognormal, or exponential if Variation is 1.
 	Mean      time.Duration
 	Variation float64
-	// Hop is the one-way time between two instances.
+	// Hop is the one-way latency between two instances.
 	Hop time.Duration
-	// Load is the offered load relative to all slots.
+	// Load is the offered load relative to the capacity of all slots.
 	Load     float64
 	Requests int
 	// Deadline of each request; 0 for none.
 	Deadline time.Duration
-	// Customers share the load evenly unless Guaranteed is set: then the first
-	// brings this part of the capacity and the others the rest of the load.
+	// Customers share the load evenly unless Guaranteed is set: then the first offers
+	// that part of the capacity and the others the rest of the load.
 	Customers  int
 	Guaranteed float64
 }
 
-// Result of one run. Times are those of requests that were answered.
+// Result holds the figures of one run. Latencies are those of answered requests.
 type Result struct {
-	Way      string
+	Policy   string
 	P50, P99 time.Duration
 	Answered int
 	Refused  int
-	// Use is the part of all slots that was busy in the middle half of the run.
-	Use float64
-	// MaxOver is the most requests at one minion beyond its slots.
-	MaxOver int
-	// Messages between instances for each request.
+	// Utilisation is the share of all slots that was busy in the middle half of the run.
+	Utilisation float64
+	// MaxQueued is the largest number of requests at a minion beyond its slots; 0 or less
+	// if none ever queued.
+	MaxQueued int
+	// Messages is the number of messages between instances per request.
 	Messages float64
-	// Guaranteed is the share of the first customer's requests answered in time.
+	// Guaranteed is the share of the first customer's requests answered within the
+	// deadline.
 	Guaranteed float64
-	// Goodput is the requests answered in time relative to what all slots could
-	// serve until the last answer.
+	// Goodput is the number of requests answered within the deadline relative to what
+	// all slots could serve until the last answer.
 	Goodput float64
 }
 
@@ -61,41 +63,41 @@
 	service            time.Duration
 }
 
-// way shares out the slots.
-type way interface {
+// policy assigns requests to slots.
+type policy interface {
 	arrive(r *request)
 }
 
-// run is the event loop and what it measures.
+// run is the event loop and its measurements.
 type run struct {
 	config    Config
 	random    *rand.Rand
 	now       time.Duration
 	events    timeline.Queue[func()]
-	atMinion  []int
-	waiting   [][]func()
+	load      []int
+	queues    [][]func()
 	busy      int
 	busyFrom  time.Duration
 	busyTime  time.Duration
-	windowed  bool
+	inWindow  bool
 	latencies []time.Duration
 	result    Result
 	answered  []int
 	arrived   []int
 	length    time.Duration
-	// inTime counts the answers within the deadline.
-	inTime int
+	// onTime counts the answers within the deadline.
+	onTime int
 }
 
 func newRun(config Config, name string) *run {
 	return &run{
 		config:   config,
 		random:   rand.New(rand.NewPCG(config.Seed, 0)),
-		atMinion: make([]int, config.Minions),
-		waiting:  make([][]func(), config.Minions),
+		load:     make([]int, config.Minions),
+		queues:   make([][]func(), config.Minions),
 		answered: make([]int, max(config.Customers, 1)),
 		arrived:  make([]int, max(config.Customers, 1)),
-		result:   Result{Way: name},
+		result:   Result{Policy: name},
 	}
 }
 
@@ -103,8 +105,9 @@
 	r.events.Add(r.now+d, do)
 }
 
-// play offers the requests to a way and runs until all events are done.
-func (r *run) play(w way) Result {
+// simulate offers the requests to a policy and runs until all are answered or refused, or no
+// events are left.
+func (r *run) simulate(w policy) Result {
 	c := r.config
 	capacity := float64(c.Minions*c.Slots) / c.Mean.Seconds()
 	rate := capacity * c.Load
@@ -152,61 +155,61 @@
 	return 1 + r.random.IntN(n-1)
 }
 
-// serve runs a request at a minion, queueing there where its slots are taken.
+// serve runs a request at a minion, or queues it there if all slots are busy.
 func (r *run) serve(minion int, req *request, done func()) {
 	start := func() {
 		r.occupy(1)
 		r.after(req.service, func() {
 			r.occupy(-1)
-			r.atMinion[minion]--
+			r.load[minion]--
 			done()
-			if queue := r.waiting[minion]; len(queue) > 0 {
-				r.waiting[minion] = queue[1:]
+			if queue := r.queues[minion]; len(queue) > 0 {
+				r.queues[minion] = queue[1:]
 				queue[0]()
 			}
 		})
 	}
-	r.atMinion[minion]++
-	over := r.atMinion[minion] - r.config.Slots
-	r.result.MaxOver = max(r.result.MaxOver, over)
+	r.load[minion]++
+	over := r.load[minion] - r.config.Slots
+	r.result.MaxQueued = max(r.result.MaxQueued, over)
 	if over > 0 {
-		r.waiting[minion] = append(r.waiting[minion], start)
+		r.queues[minion] = append(r.queues[minion], start)
 		return
 	}
 	start()
 }
 
-// answer ends a request well.
+// answer records an answered request.
 func (r *run) answer(req *request) {
 	latency := r.now - req.arrived
 	r.latencies = append(r.latencies, latency)
 	r.result.Answered++
 	if r.config.Deadline == 0 || latency <= r.config.Deadline {
 		r.answered[req.customer]++
-		r.inTime++
+		r.onTime++
 	}
 }
 
 func (r *run) occupy(change int) {
-	r.settleUse()
+	r.accumulateUse()
 	r.busy += change
 }
 
-func (r *run) settleUse() {
-	if r.windowed {
+func (r *run) accumulateUse() {
+	if r.inWindow {
 		r.busyTime += time.Duration(r.busy) * (r.now - r.busyFrom)
 	}
 	r.busyFrom = r.now
 }
 
 func (r *run) openWindow() {
-	r.settleUse()
-	r.windowed = true
+	r.accumulateUse()
+	r.inWindow = true
 }
 
 func (r *run) closeWindow() {
-	r.settleUse()
-	r.windowed = false
+	r.accumulateUse()
+	r.inWindow = false
 }
 
 func (r *run) finish(capacity float64) Result {
@@ -214,10 +217,10 @@
 	r.result.P50 = quantile(r.latencies, 0.5)
 	r.result.P99 = quantile(r.latencies, 0.99)
 	slots := r.config.Minions * r.config.Slots
-	r.result.Use = r.busyTime.Seconds() / (float64(slots) * (r.length / 2).Seconds())
+	r.result.Utilisation = r.busyTime.Seconds() / (float64(slots) * (r.length / 2).Seconds())
 	r.result.Messages /= float64(r.config.Requests)
 	r.result.Guaranteed = float64(r.answered[0]) / float64(max(r.arrived[0], 1))
-	r.result.Goodput = float64(r.inTime) / (capacity * r.now.Seconds())
+	r.result.Goodput = float64(r.onTime) / (capacity * r.now.Seconds())
 	return r.result
 }
 
@@ -232,7 +235,7 @@
 	return time.Duration(random.ExpFloat64() * mean * float64(time.Second))
 }
 
-// lognormal draws a service time; a variation of 1 draws it exponential.
+// lognormal draws a service time; with a variation of 1 it is exponential instead.
 func lognormal(random *rand.Rand, mean time.Duration, variation float64) time.Duration {
 	if variation == 1 {
 		return exponential(random, mean.Seconds())
