--- a/internal/experiment/conservation/ledger.go
+++ b/internal/experiment/conservation/ledger.go
@@ -1,6 +1,6 @@
-// Package conservation sends requests to instances that are being killed,
-// restarted and drained, and checks afterwards what callers were told against
-// what minions recorded.
+// Package conservation sends requests to instances that are being killed, restarted and
+// drained, and then checks what callers were told against the executions that minions
+// recorded: no request that is not idempotent may run twice, and no answer may be wrong.
 package conservation
 
 import (
@@ -10,49 +10,51 @@
 	"sync"
 )
 
-// Verdict is what a caller knows of its request in the end.
+// Verdict is the outcome of a request as its caller finally knows it.
 type Verdict string
 
-// The verdicts.
+// The possible verdicts.
 const (
 	Answered Verdict = "answered"
 	NotRun   Verdict = "not run"
-	// Failed is that the request ran and its answer is not to be had.
+	// Failed means that the request ran and its answer is not available.
 	Failed  Verdict = "failed"
 	Unknown Verdict = "unknown"
 )
 
-// Ledger is what every caller was told.
+// Ledger records what the callers were told. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	verdicts map[string]Verdict
 	report   Report
 }
 
-// Report counts what happened and what must not have.
+// Report holds counts of a run and the violations found.
 type Report struct {
 	Requests, Calls, Answered, NotRun, Failed, Unknown, Fetched int
-	// Executed is how many non-idempotent requests minions ran.
+	// Executed is the number of non-idempotent requests with a key that minions ran.
 	Executed int
-	// The violations; all must be zero.
-	RunTwice, NotRunThatRan, RanThatDidNot, WrongCaller, Truncated int
-	// Examples names a few violations.
+	// Counts of violations: requests run twice, requests reported as not run that ran,
+	// requests reported as run that did not, answers to the wrong caller, and truncated
+	// answers. All must be zero.
+	RunTwice, NotRunButRan, RanButDidNot, WrongCaller, Truncated int
+	// Examples describes the first maxExamples violations.
 	Examples []string
 }
 
-// Violations counts everything that must not have happened.
+// Violations is the total number of violations.
 func (r *Report) Violations() int {
-	return r.RunTwice + r.NotRunThatRan + r.RanThatDidNot + r.WrongCaller + r.Truncated
+	return r.RunTwice + r.NotRunButRan + r.RanButDidNot + r.WrongCaller + r.Truncated
 }
 
-// String gives the report on one line.
+// String formats the report on one line.
 func (r *Report) String() string {
 	return fmt.Sprintf("%d requests in %d calls: %d answered (%d fetched later), %d not run, %d failed, %d unknown; %d non-idempotent executed; violations: %d run twice, %d not run that ran, %d said to have run that did not, %d to the wrong caller, %d truncated",
 		r.Requests, r.Calls, r.Answered, r.Fetched, r.NotRun, r.Failed, r.Unknown, r.Executed,
-		r.RunTwice, r.NotRunThatRan, r.RanThatDidNot, r.WrongCaller, r.Truncated)
+		r.RunTwice, r.NotRunButRan, r.RanButDidNot, r.WrongCaller, r.Truncated)
 }
 
-// maxExamples bounds the violations that are named.
+// maxExamples limits the number of violations that are described.
 const maxExamples = 5
 
 func (r *Report) violation(count *int, format string, args ...any) {
@@ -62,7 +64,7 @@
 	}
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{verdicts: map[string]Verdict{}} }
 
 // request is one request as its caller knows it.
@@ -71,12 +73,12 @@
 	service    string
 	key        string
 	idempotent bool
-	// nonce opens the body and is in no other request's.
+	// nonce is the unique prefix of the body.
 	nonce string
 	body  string
 }
 
-// id is how minions record a non-idempotent request.
+// id identifies a non-idempotent request in the records of minions.
 func (r *request) id() string { return r.customer + "/" + r.key }
 
 func (l *Ledger) countCall() {
@@ -91,8 +93,8 @@
 	l.report.Fetched++
 }
 
-// conclude records a caller's last word on a request.
-func (l *Ledger) conclude(r *request, verdict Verdict) {
+// recordVerdict records the final verdict on a request.
+func (l *Ledger) recordVerdict(r *request, verdict Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.Requests++
@@ -111,9 +113,9 @@
 	}
 }
 
-var nonces = regexp.MustCompile(`nonce-\d+-`)
+var noncePattern = regexp.MustCompile(`nonce-\d+-`)
 
-// checkAnswer judges an answer that came as a success.
+// checkAnswer checks that a successful answer is whole and belongs to the request.
 func (l *Ledger) checkAnswer(r *request, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,22 +126,22 @@
 	if strings.Contains(text, middle) && strings.HasSuffix(text, ": "+r.body+"\n") {
 		return
 	}
-	if found := nonces.FindString(text); found != "" && found != r.nonce {
+	if found := noncePattern.FindString(text); found != "" && found != r.nonce {
 		l.report.violation(&l.report.WrongCaller, "%s got %q", r.nonce, text[:min(len(text), 100)])
 		return
 	}
 	l.report.violation(&l.report.Truncated, "%s got %d bytes of an answer to %d", r.nonce, len(text), len(r.body))
 }
 
-// strangerSaw records that a customer was given another's answer.
-func (l *Ledger) strangerSaw(r *request) {
+// recordForeignFetch records that a customer was given the answer of another one.
+func (l *Ledger) recordForeignFetch(r *request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.violation(&l.report.WrongCaller, "a stranger fetched %s", r.id())
 }
 
-// Check compares what callers were told with the executions that minions
-// recorded under each id.
+// Check compares what callers were told with runs, the number of executions that minions
+// recorded under each request id.
 func (l *Ledger) Check(runs map[string]int) *Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,10 +157,10 @@
 	}
 	for id, verdict := range l.verdicts {
 		if verdict == NotRun && runs[id] > 0 {
-			report.violation(&report.NotRunThatRan, "%s was called not run", id)
+			report.violation(&report.NotRunButRan, "%s was called not run", id)
 		}
 		if (verdict == Answered || verdict == Failed) && runs[id] == 0 {
-			report.violation(&report.RanThatDidNot, "%s %s", id, verdict)
+			report.violation(&report.RanButDidNot, "%s %s", id, verdict)
 		}
 	}
 	return &report
--- a/internal/experiment/conservation/load.go
+++ b/internal/experiment/conservation/load.go
@@ -22,13 +22,14 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Load is callers that send requests, give up, and send again elsewhere.
+// Load generates requests of callers that time out and retry at other instances.
 type Load struct {
-	// Servers are the instances; any gets any call, as behind a balancer.
+	// Servers are the base URLs of the instances; each call goes to a random one, as behind
+	// a load balancer.
 	Servers []string
-	// Tokens are those of the customers.
+	// Tokens holds the token of each customer.
 	Tokens map[string]string
-	// Once and Repeatable are services that are not and that are idempotent.
+	// Once is a service that is not idempotent, Repeatable an idempotent one.
 	Once, Repeatable string
 	Requests         int
 	Callers          int
@@ -36,18 +37,18 @@
 }
 
 const (
-	// maxTries bounds the calls for one request.
-	maxTries = 12
-	// callTime is what a patient caller gives one call.
-	callTime = 4 * time.Second
-	// shortTime bounds the wait of a caller that hangs up.
-	shortTime = 30 * time.Millisecond
-	retryWait = 100 * time.Millisecond
-	// largeBody makes an answer that is streamed.
-	largeBody = 200 << 10
+	// maxCalls limits the calls for one request.
+	maxCalls = 12
+	// callTimeout is the usual time-out of a call.
+	callTimeout = 4 * time.Second
+	// maxShortTimeout limits the time-out of the calls that are abandoned early.
+	maxShortTimeout = 30 * time.Millisecond
+	maxRetryWait    = 100 * time.Millisecond
+	// largeBodyBytes is large enough for the answer to be streamed.
+	largeBodyBytes = 200 << 10
 )
 
-// Run sends every request and gives what the callers were told.
+// Run sends all requests and returns what the callers were told.
 func (l *Load) Run(ctx context.Context) *Ledger {
 	ledger := NewLedger()
 	transport := &http.Transport{MaxIdleConnsPerHost: l.Callers, IdleConnTimeout: time.Second}
@@ -60,7 +61,7 @@
 				c := &caller{load: l, ledger: ledger, http: &http.Client{Transport: transport}}
 				c.rand = rand.New(rand.NewPCG(l.Seed, uint64(number)))
 				c.request = c.make(number)
-				ledger.conclude(c.request, c.run(ctx))
+				ledger.recordVerdict(c.request, c.run(ctx))
 			}
 		})
 	}
@@ -68,7 +69,7 @@
 	return ledger
 }
 
-// caller pursues one request.
+// caller sends one request until it has a verdict.
 type caller struct {
 	load    *Load
 	ledger  *Ledger
@@ -77,22 +78,22 @@
 	request *request
 }
 
-func (c *caller) chance(percent int) bool { return c.rand.IntN(100) < percent }
+func (c *caller) withProbability(percent int) bool { return c.rand.IntN(100) < percent }
 
 func (c *caller) customer() string {
 	names := slices.Sorted(maps.Keys(c.load.Tokens))
 	return names[c.rand.IntN(len(names))]
 }
 
-// make invents a request: three in ten are idempotent; keys are the caller's own, ULIDs
-// or left to the instance.
+// make generates a request: three in ten are idempotent. The key of the others is a ULID, a
+// string of the caller's own, or left to the instance.
 func (c *caller) make(number int64) *request {
 	r := &request{nonce: fmt.Sprintf("nonce-%d-", number), customer: c.customer()}
 	r.body = r.nonce + "ash"
-	if c.chance(30) {
+	if c.withProbability(30) {
 		r.service, r.idempotent = c.load.Repeatable, true
-		if c.chance(10) {
-			r.body = r.nonce + strings.Repeat("oak ", largeBody/4)
+		if c.withProbability(10) {
+			r.body = r.nonce + strings.Repeat("oak ", largeBodyBytes/4)
 		}
 		return r
 	}
@@ -106,42 +107,42 @@
 	return r
 }
 
-// run calls until there is an answer, or a last word, or it has tried often
-// enough. Half of the refusals are taken as the last word.
+// run calls until there is an answer or another final verdict, at most maxCalls times. With
+// a key of the caller's own, half of the refusals are final and the others are retried.
 func (c *caller) run(ctx context.Context) Verdict {
 	keyGiven := c.request.key != ""
-	for range maxTries {
+	for range maxCalls {
 		verdict := c.call(ctx)
-		if verdict == Answered || verdict == Failed || (verdict == NotRun && (!keyGiven || c.chance(50))) {
+		if verdict == Answered || verdict == Failed || (verdict == NotRun && (!keyGiven || c.withProbability(50))) {
 			return verdict
 		}
 		if c.request.key == "" && !c.request.idempotent {
-			// Without a key nothing can be asked or sent again.
+			// Without a key the answer can't be fetched nor the request sent again.
 			return Unknown
 		}
-		if verdict == Unknown && !c.request.idempotent && c.chance(30) && c.fetch(ctx) {
+		if verdict == Unknown && !c.request.idempotent && c.withProbability(30) && c.fetch(ctx) {
 			return Answered
 		}
-		time.Sleep(time.Duration(c.rand.Int64N(int64(retryWait))))
+		time.Sleep(time.Duration(c.rand.Int64N(int64(maxRetryWait))))
 	}
 	return Unknown
 }
 
 func (c *caller) server() string { return c.load.Servers[c.rand.IntN(len(c.load.Servers))] }
 
-// call sends the request once.
+// call sends the request once; one call in ten is abandoned early.
 func (c *caller) call(ctx context.Context) Verdict {
 	c.ledger.countCall()
-	patience := callTime
-	if c.chance(10) {
-		patience = time.Duration(c.rand.Int64N(int64(shortTime)))
+	timeout := callTimeout
+	if c.withProbability(10) {
+		timeout = time.Duration(c.rand.Int64N(int64(maxShortTimeout)))
 	}
-	learned := &learnedKey{}
-	ctx, cancel := context.WithTimeout(learned.watch(ctx), patience)
+	assigned := &assignedKey{}
+	ctx, cancel := context.WithTimeout(assigned.withTrace(ctx), timeout)
 	defer cancel()
 	path := strings.Replace(api.PathRequests, "{service}", c.request.service, 1)
 	response, text, err := c.send(ctx, http.MethodPost, path, c.request.body, c.request.customer)
-	if key := learned.key.Load(); key != nil {
+	if key := assigned.key.Load(); key != nil {
 		c.request.key = *key
 	}
 	if err != nil {
@@ -150,12 +151,12 @@
 	return c.judge(response, text)
 }
 
-// learnedKey is the key that an instance makes, from its interim answer. The
-// answer may come on the connection's goroutine after the caller has given up;
-// the caller takes what has come by then.
-type learnedKey struct{ key atomic.Pointer[string] }
+// assignedKey is the key that an instance assigns, read from its 1xx response. The response
+// may arrive on the connection's goroutine after the caller has timed out; the caller uses
+// what has arrived by then.
+type assignedKey struct{ key atomic.Pointer[string] }
 
-func (l *learnedKey) watch(ctx context.Context) context.Context {
+func (l *assignedKey) withTrace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		Got1xxResponse: func(_ int, header textproto.MIMEHeader) error {
 			if key := header.Get(api.HeaderKey); key != "" {
@@ -187,18 +188,19 @@
 	return Unknown
 }
 
-// fetch asks any instance for the answer, and now and then for a stranger.
+// fetch asks random instances for the answer, first with the tokens of all other customers,
+// which must not get it, and then with the caller's own.
 func (c *caller) fetch(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	path := strings.Replace(api.PathAnswer, "{key}", c.request.key, 1)
-	for stranger := range c.load.Tokens {
-		if stranger == c.request.customer {
+	for otherCustomer := range c.load.Tokens {
+		if otherCustomer == c.request.customer {
 			continue
 		}
-		response, _, err := c.send(ctx, http.MethodGet, path, "", stranger)
+		response, _, err := c.send(ctx, http.MethodGet, path, "", otherCustomer)
 		if err == nil && response.StatusCode == http.StatusOK {
-			c.ledger.strangerSaw(c.request)
+			c.ledger.recordForeignFetch(c.request)
 		}
 	}
 	response, text, err := c.send(ctx, http.MethodGet, path, "", c.request.customer)
