--- a/internal/experiment/detector/compare.go
+++ b/internal/experiment/detector/compare.go
@@ -8,60 +8,63 @@
 	"pinewinch.example/pinewinch/internal/coordination/membership/detector"
 )
 
-// Policy decides how long a silent peer is waited for.
+// Policy decides after which silence a peer is considered lost. It matches the detector of
+// the membership package.
 type Policy interface {
 	Delay(peer string, missing, wanted int) time.Duration
 	ObserveReturn(peer string, silence time.Duration)
 	ObserveLoss(peer string)
 }
 
-// Fixed waits the same for every peer.
+// Fixed is a policy with the same delay for every peer.
 type Fixed time.Duration
 
-// Delay is the fixed one.
+// Delay returns the fixed delay.
 func (f Fixed) Delay(string, int, int) time.Duration { return time.Duration(f) }
 
-// ObserveReturn learns nothing.
+// ObserveReturn does nothing.
 func (Fixed) ObserveReturn(string, time.Duration) {}
 
-// ObserveLoss learns nothing.
+// ObserveLoss does nothing.
 func (Fixed) ObserveLoss(string) {}
 
-// LearnedConfig bounds the learned delays: the first is the default fixed one.
+// LearnedConfig holds the limits of the learned delays. The initial delay equals the
+// default of the fixed one.
 var LearnedConfig = detector.Config{InitialDelay: 10 * time.Minute, MinDelay: 5 * time.Second, MaxDelay: 2 * time.Hour}
 
-// Outcome of one policy on one trace.
+// Outcome is the result of one policy on one trace.
 type Outcome struct {
 	Silences int
 	Losses   int
-	// Needless counts repairs of peers that came back.
+	// Needless counts repairs of peers that returned.
 	Needless int
-	// Delays are from a loss to its repair.
+	// The delays are the times from a loss to its repair.
 	MeanDelay   time.Duration
 	MedianDelay time.Duration
 }
 
-// Replay runs a policy over a trace. The first part only teaches.
-func Replay(policy Policy, silences []Silence, teach float64) Outcome {
+// Replay runs a policy over a trace. The first part of it, warmupShare of the silences, only
+// trains the policy and is not counted.
+func Replay(policy Policy, silences []Silence, warmupShare float64) Outcome {
 	var out Outcome
 	var delays []time.Duration
-	counted := int(float64(len(silences)) * teach)
+	firstCounted := int(float64(len(silences)) * warmupShare)
 	for i, silence := range silences {
 		delay := policy.Delay(silence.Peer, 0, 1)
-		count := i >= counted
+		counted := i >= firstCounted
 		switch {
 		case silence.Lost:
 			policy.ObserveLoss(silence.Peer)
 		default:
-			policy.ObserveReturn(silence.Peer, silence.Lasts)
+			policy.ObserveReturn(silence.Peer, silence.Length)
 		}
-		if !count {
+		if !counted {
 			continue
 		}
 		out.Silences++
 		if silence.Lost {
 			delays = append(delays, delay)
-		} else if silence.Lasts > delay {
+		} else if silence.Length > delay {
 			out.Needless++
 		}
 	}
@@ -69,7 +72,7 @@
 	return out
 }
 
-// Add sums counts and delays over traces.
+// Add adds the counts and delays of another trace.
 func (o *Outcome) Add(other Outcome) {
 	o.Silences += other.Silences
 	o.Losses += other.Losses
@@ -92,23 +95,22 @@
 	o.MedianDelay = delays[len(delays)/2]
 }
 
-// Equivalent is the fixed delay with at most as many needless repairs as the
-// outcome has: what a fixed delay would have to be, and so what each loss would
-// have to wait.
-func Equivalent(silences []Silence, teach float64, needless int) time.Duration {
-	var ended []time.Duration
-	for _, silence := range silences[int(float64(len(silences))*teach):] {
+// Equivalent is the least fixed delay that causes at most the given number of needless
+// repairs after the warm-up, and so the time that each loss would wait for its repair.
+func Equivalent(silences []Silence, warmupShare float64, needless int) time.Duration {
+	var recovered []time.Duration
+	for _, silence := range silences[int(float64(len(silences))*warmupShare):] {
 		if !silence.Lost {
-			ended = append(ended, silence.Lasts)
+			recovered = append(recovered, silence.Length)
 		}
 	}
-	slices.Sort(ended)
-	if needless >= len(ended) {
+	slices.Sort(recovered)
+	if needless >= len(recovered) {
 		return 0
 	}
-	return ended[len(ended)-1-needless]
+	return recovered[len(recovered)-1-needless]
 }
 
-func sortByTime(silences []Silence) {
-	slices.SortStableFunc(silences, func(a, b Silence) int { return cmp.Compare(a.At, b.At) })
+func sortByStart(silences []Silence) {
+	slices.SortStableFunc(silences, func(a, b Silence) int { return cmp.Compare(a.Start, b.Start) })
 }
--- a/internal/experiment/detector/compare_test.go
+++ b/internal/experiment/detector/compare_test.go
@@ -9,12 +9,12 @@
 	"github.com/matryer/is"
 )
 
-func TestReplayCountsWhatFollowsTheTeaching(t *testing.T) {
+func TestReplayExcludesWarmup(t *testing.T) {
 	is := is.New(t)
 	silences := []Silence{
-		{Peer: "p", Lasts: time.Hour},
-		{Peer: "p", Lasts: 3 * time.Minute},
-		{Peer: "p", Lasts: time.Minute},
+		{Peer: "p", Length: time.Hour},
+		{Peer: "p", Length: 3 * time.Minute},
+		{Peer: "p", Length: time.Minute},
 		{Peer: "p", Lost: true},
 	}
 	out := Replay(Fixed(2*time.Minute), silences, 0.25)
@@ -23,7 +23,7 @@
 	is.Equal(Equivalent(silences, 0.25, 0), 3*time.Minute)
 }
 
-func TestGeneratedTraceIsTheSameForASeed(t *testing.T) {
+func TestGenerateIsDeterministic(t *testing.T) {
 	is := is.New(t)
 	generate := func() []Silence { return Generate(rand.New(rand.NewPCG(1, 1)), Kinds(), 2, 10) }
 	is.Equal(generate(), generate())
@@ -33,7 +33,7 @@
 	is := is.New(t)
 	silences, err := Read(strings.NewReader("# two\ni3 41ms\n\ni5 2.5s\n"))
 	is.NoErr(err)
-	is.Equal(silences, []Silence{{Peer: "i3", Lasts: 41 * time.Millisecond}, {Peer: "i5", At: time.Hour, Lasts: 2500 * time.Millisecond}})
+	is.Equal(silences, []Silence{{Peer: "i3", Length: 41 * time.Millisecond}, {Peer: "i5", Start: time.Hour, Length: 2500 * time.Millisecond}})
 	_, err = Read(strings.NewReader("i3 soon\n"))
 	is.True(err != nil)
 }
--- a/internal/experiment/detector/trace.go
+++ b/internal/experiment/detector/trace.go
@@ -1,5 +1,5 @@
-// Package detector compares ways to decide when a silent voter is lost, on
-// generated and on recorded silences.
+// Package detector compares policies that decide when a silent voter is lost, on generated
+// and on recorded silences.
 package detector
 
 import (
@@ -13,30 +13,32 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Silence is one time in which a peer was not heard.
+// Silence is a period without messages from a peer.
 type Silence struct {
 	Peer string
-	At   time.Duration
-	// Lasts is how long until the peer came back; Lost tells that it never did.
-	Lasts time.Duration
-	Lost  bool
+	// Start is the start, relative to that of the trace.
+	Start time.Duration
+	// Length is the time until the peer returned; if Lost is set it never did.
+	Length time.Duration
+	Lost   bool
 }
 
-// peerKind generates the silences of one kind of peer: lognormal, as restarts
-// and link faults are, of many short and a few long ones.
+// peerKind describes the silences of one kind of peer. Their durations are lognormal, as
+// those of restarts and link faults: many short ones and a few long ones.
 type peerKind struct {
 	name   string
 	median time.Duration
-	// sigma is the spread: e^sigma times the median is one deviation up.
+	// sigma is the standard deviation of the logarithm of the duration.
 	sigma float64
-	// perDay is how many silences a peer has, lostShare how many never end.
+	// perDay is the mean number of silences of a peer per day, lostShare the share of them
+	// that never end.
 	perDay    float64
 	lostShare float64
 }
 
-// kinds are the peers of one generated trace. The ratio of losses to silences
-// that end is that of the planned size: 10 losses to 150 restarts or
-// replacements a day.
+// kinds are the kinds of peers in a generated trace. The ratio of losses to silences that
+// end is that expected at the planned size: 10 losses to 150 restarts or replacements a
+// day.
 var kinds = []peerKind{
 	{name: "quick restart", median: 4 * time.Second, sigma: 0.4, perDay: 2, lostShare: lostShare},
 	{name: "slow restart", median: 90 * time.Second, sigma: 0.5, perDay: 2, lostShare: lostShare},
@@ -49,11 +51,11 @@
 	day       = 24 * time.Hour
 )
 
-// Kinds is how many kinds of peers there are, the longest silences last.
+// Kinds is the number of kinds of peers; the kind with the longest silences is the last.
 func Kinds() int { return len(kinds) }
 
-// Generate makes the silences of count peers of each of the first kinds over
-// some days, in the order of time.
+// Generate generates the silences of count peers of each of the first kinds over some days,
+// sorted by time. Names repeat after 26 peers of a kind.
 func Generate(r *rand.Rand, first, count, days int) []Silence {
 	var silences []Silence
 	for _, kind := range kinds[:min(first, len(kinds))] {
@@ -62,24 +64,25 @@
 			silences = append(silences, kind.generate(r, name, days)...)
 		}
 	}
-	sortByTime(silences)
+	sortByStart(silences)
 	return silences
 }
 
 func (k peerKind) generate(r *rand.Rand, name string, days int) []Silence {
 	var silences []Silence
-	pause := float64(day) / k.perDay
-	for at := r.ExpFloat64() * pause; at < float64(days)*float64(day); at += r.ExpFloat64() * pause {
-		silence := Silence{Peer: name, At: time.Duration(at)}
+	meanInterval := float64(day) / k.perDay
+	for at := r.ExpFloat64() * meanInterval; at < float64(days)*float64(day); at += r.ExpFloat64() * meanInterval {
+		silence := Silence{Peer: name, Start: time.Duration(at)}
 		silence.Lost = r.Float64() < k.lostShare
-		silence.Lasts = time.Duration(float64(k.median) * math.Exp(k.sigma*r.NormFloat64()))
+		silence.Length = time.Duration(float64(k.median) * math.Exp(k.sigma*r.NormFloat64()))
 		silences = append(silences, silence)
 	}
 	return silences
 }
 
-// Read reads recorded silences, one a line: peer and duration. Every one ended
-// by itself; losses are put in between by Interleave.
+// Read reads recorded silences, one per line: the peer and a duration as of
+// time.ParseDuration. Empty lines and lines that start with # are skipped. Every recorded
+// silence ended; Interleave marks some as losses. The silences start an hour apart.
 func Read(from io.Reader) ([]Silence, error) {
 	var silences []Silence
 	lines := bufio.NewScanner(from)
@@ -91,11 +94,11 @@
 		if len(fields) != 2 {
 			return nil, failure.New(failure.BadRequest, "line %q is not a peer and a duration", lines.Text())
 		}
-		lasts, err := time.ParseDuration(fields[1])
+		length, err := time.ParseDuration(fields[1])
 		if err != nil {
 			return nil, failure.Wrap(failure.BadRequest, err, "line %q", lines.Text())
 		}
-		silences = append(silences, Silence{Peer: fields[0], At: time.Duration(len(silences)) * time.Hour, Lasts: lasts})
+		silences = append(silences, Silence{Peer: fields[0], Start: time.Duration(len(silences)) * time.Hour, Length: length})
 	}
 	if err := lines.Err(); err != nil {
 		return nil, failure.Wrap(failure.BadRequest, err, "recorded silences")
@@ -103,7 +106,8 @@
 	return silences, nil
 }
 
-// Interleave puts losses among recorded silences at the generated share.
+// Interleave marks recorded silences as losses, at random, with the share of generated
+// traces.
 func Interleave(r *rand.Rand, silences []Silence) []Silence {
 	for i := range silences {
 		silences[i].Lost = r.Float64() < lostShare
