--- a/internal/experiment/benchcmd/compare.go
+++ b/internal/experiment/benchcmd/compare.go
@@ -27,13 +27,13 @@
 		client := load.NewClient(*token)
 		body := []byte(strings.Repeat("x", 100))
 		instances, direct := strings.Split(*servers, ","), strings.Split(*minions, ",")
-		ways := []load.Way{
+		modes := []load.Mode{
 			{Name: "direct", Servers: direct, Do: client.Direct(*repeatable, body)},
 			{Name: "idempotent", Servers: instances, Do: client.Requests(*repeatable, false, body)},
 			{Name: "at most once", Servers: instances, Do: client.Requests(*once, true, body)},
 		}
-		reports := load.Compare(ctx, ways, *perSecond, *rounds, *round)
-		rates := load.Saturate(ctx, ways, *callers, *rounds, *round)
-		return load.PrintComparison(out, ways, reports, rates)
+		reports := load.Compare(ctx, modes, *perSecond, *rounds, *round)
+		rates := load.Saturate(ctx, modes, *callers, *rounds, *round)
+		return load.PrintComparison(out, modes, reports, rates)
 	}}
 }
--- a/internal/experiment/load/changes.go
+++ b/internal/experiment/load/changes.go
@@ -16,11 +16,11 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// changedEntries is how many entries the changes go round.
+// changedEntries is the number of entries that the changes cycle through.
 const changedEntries = 64
 
-// Changer applies one changed entry after another, each against the newest
-// revision, as operators do.
+// Changer changes declared entries one after another, each against the newest revision, as
+// operators do. It is safe for concurrent use; changes are applied one at a time.
 type Changer struct {
 	client   *Client
 	customer string
@@ -29,9 +29,9 @@
 	revision uint64
 }
 
-// NewChanger reads the revision to start from. The customer and the class must
-// be declared; a class that no worker can run keeps the changes from starting
-// work, so that their own cost is measured.
+// NewChanger reads the current revision from a server. The customer and the class must be
+// declared. With a class that no worker can run the changes start no work, so that only
+// their own cost is measured.
 func NewChanger(ctx context.Context, client *Client, server, customer, class string) (*Changer, error) {
 	text, err := client.Call(ctx, http.MethodGet, server+api.PathDeclarations, "", nil)
 	if err != nil {
@@ -44,14 +44,14 @@
 	return &Changer{client: client, customer: customer, class: class, revision: current.Revision}, nil
 }
 
-// Revision is that of the newest change applied.
+// Revision is the revision of the newest applied change.
 func (c *Changer) Revision() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision
 }
 
-// Do applies one change.
+// Do applies one change through a server; number selects the entry and is its new content.
 func (c *Changer) Do(ctx context.Context, server string, number int) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 		Name:       name,
 		Customer:   c.customer,
 		WorkClass:  c.class,
-		PeriodMs:   never,
+		PeriodMs:   noRepetitionPeriod,
 		Attributes: map[string]string{"number": fmt.Sprint(number)},
 	}}}
 	encoded, err := protojson.Marshal(item)
@@ -85,5 +85,6 @@
 	return nil
 }
 
-// never is a period so long that one job a changed entry is all that comes.
-const never = int64(100 * 365 * 24 * 60 * 60 * 1000)
+// noRepetitionPeriod is a period in milliseconds, 100 years, that is long enough for each
+// changed entry to start at most one job.
+const noRepetitionPeriod = int64(100 * 365 * 24 * 60 * 60 * 1000)
--- a/internal/experiment/load/compare.go
+++ b/internal/experiment/load/compare.go
@@ -15,14 +15,14 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Way is one way to have the same work done.
-type Way struct {
+// Mode is one way to send the same work: the servers to call and the call.
+type Mode struct {
 	Name    string
 	Servers []string
 	Do      Do
 }
 
-// Direct sends a request straight to a minion, with no instance in between.
+// Direct sends requests of a service directly to a minion, without an instance in between.
 func (c *Client) Direct(service string, body []byte) Do {
 	return func(ctx context.Context, minion string, _ int) error {
 		_, err := c.Call(ctx, http.MethodPost, minion+api.PathServe+service, "", body)
@@ -30,13 +30,13 @@
 	}
 }
 
-// Compare sends the same load each way, in turns of a round each, so that what
-// else the machine does falls on all of them alike.
-func Compare(ctx context.Context, ways []Way, perSecond float64, rounds int, round time.Duration) []*Report {
-	reports := make([]*Report, len(ways))
+// Compare sends the same load in each mode, alternating between the modes by rounds, so
+// that other load on the machine affects all of them alike. It returns a report per mode.
+func Compare(ctx context.Context, modes []Mode, perSecond float64, rounds int, round time.Duration) []*Report {
+	reports := make([]*Report, len(modes))
 	for range rounds {
-		for i, way := range ways {
-			report := Run(ctx, Options{Servers: way.Servers, Rate: perSecond, Over: round}, way.Do)
+		for i, mode := range modes {
+			report := Run(ctx, Options{Servers: mode.Servers, Rate: perSecond, Over: round}, mode.Do)
 			reports[i] = merge(reports[i], report)
 		}
 	}
@@ -57,19 +57,19 @@
 	return sum
 }
 
-// Saturate has callers send one request after another each way, in turns, and
-// gives the requests answered a second.
-func Saturate(ctx context.Context, ways []Way, callers, rounds int, round time.Duration) []float64 {
-	rates := make([]float64, len(ways))
+// Saturate runs callers that send one request after another in each mode, alternating by
+// rounds. It returns the answered requests per second of each mode.
+func Saturate(ctx context.Context, modes []Mode, callers, rounds int, round time.Duration) []float64 {
+	rates := make([]float64, len(modes))
 	for range rounds {
-		for i, way := range ways {
-			rates[i] += saturate(ctx, way, callers, round) / float64(rounds)
+		for i, mode := range modes {
+			rates[i] += saturate(ctx, mode, callers, round) / float64(rounds)
 		}
 	}
 	return rates
 }
 
-func saturate(ctx context.Context, way Way, callers int, round time.Duration) float64 {
+func saturate(ctx context.Context, mode Mode, callers int, round time.Duration) float64 {
 	ctx, cancel := context.WithTimeout(ctx, round)
 	defer cancel()
 	var answered atomic.Int64
@@ -77,7 +77,7 @@
 	for caller := range callers {
 		group.Go(func() {
 			for ctx.Err() == nil {
-				if way.Do(ctx, way.Servers[caller%len(way.Servers)], caller) == nil {
+				if mode.Do(ctx, mode.Servers[caller%len(mode.Servers)], caller) == nil {
 					answered.Add(1)
 				}
 			}
@@ -87,14 +87,14 @@
 	return float64(answered.Load()) / round.Seconds()
 }
 
-// PrintComparison shows each way beside the first.
-func PrintComparison(w io.Writer, ways []Way, reports []*Report, rates []float64) error {
-	for i, way := range ways {
+// PrintComparison prints a line per mode, relative to the first mode.
+func PrintComparison(w io.Writer, modes []Mode, reports []*Report, rates []float64) error {
+	for i, mode := range modes {
 		r, first := reports[i], reports[0]
 		p50, base50 := quantile(r.Latency, 50), quantile(first.Latency, 50)
 		p99, base99 := quantile(r.Latency, 99), quantile(first.Latency, 99)
 		_, err := fmt.Fprintf(w, "%-12s %d of %d answered, refused %v; p50 %.0f us (%+.0f, %.2f times), p99 %.0f us (%+.0f, %.2f times); %.0f/s saturated (%.2f times)\n",
-			way.Name, r.Succeeded, r.Sent, r.Refused, p50, p50-base50, p50/base50, p99, p99-base99, p99/base99, rates[i], rates[i]/rates[0])
+			mode.Name, r.Succeeded, r.Sent, r.Refused, p50, p50-base50, p50/base50, p99, p99-base99, p99/base99, rates[i], rates[i]/rates[0])
 		if err != nil {
 			return failure.Wrap(failure.Internal, err, "print")
 		}
--- a/internal/experiment/load/load.go
+++ b/internal/experiment/load/load.go
@@ -1,6 +1,6 @@
-// Package load sends work to running instances at a fixed rate and records what
-// came back. Arrivals do not wait for answers (an open loop): a slow system
-// shows as latency and not as a lower rate.
+// Package load sends work to running instances at a fixed rate and records the outcomes. It
+// is an open loop: arrivals do not wait for responses, so that a slow system shows as
+// latency and not as a lower rate.
 package load
 
 import (
@@ -22,15 +22,15 @@
 )
 
 const (
-	// maxOutstanding bounds what an overloaded system can pile up here.
+	// maxOutstanding limits the calls under way when the system is overloaded.
 	maxOutstanding = 4096
-	// The range and precision of recorded latencies.
-	shortestMicros = 1
-	longestMicros  = int64(2 * time.Minute / time.Microsecond)
-	digits         = 3
+	// The range in microseconds and the precision of recorded latencies.
+	minLatencyMicros  = 1
+	maxLatencyMicros  = int64(2 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Options of one run.
+// Options configures one run: Rate is in arrivals per second, Over the length of the run.
 type Options struct {
 	Servers []string
 	Token   string
@@ -38,60 +38,60 @@
 	Over    time.Duration
 }
 
-// Report is what came back.
+// Report holds the outcomes of one run. Latency is in microseconds, of successful calls.
 type Report struct {
 	Sent      int
 	Succeeded int
-	// Refused counts answers by the code of their failure.
+	// Refused counts failed calls by failure code.
 	Refused map[failure.Code]int
-	// Dropped arrivals found maxOutstanding others on their way.
+	// Dropped counts arrivals that were not sent as maxOutstanding calls were under way.
 	Dropped int
 	Latency *hdrhistogram.Histogram
 }
 
-// Do sends one piece of work to a server; number counts from 0.
+// Do sends one piece of work to a server; number is its index in the run, from 0.
 type Do func(ctx context.Context, server string, number int) error
 
-// Run sends work until the time is over, then waits for what is on its way.
+// Run sends work until the time is over, then waits for the outstanding calls.
 func Run(ctx context.Context, options Options, do Do) *Report {
 	r := &runner{
 		report: &Report{
 			Refused: map[failure.Code]int{},
-			Latency: hdrhistogram.New(shortestMicros, longestMicros, digits),
+			Latency: hdrhistogram.New(minLatencyMicros, maxLatencyMicros, significantDigits),
 		},
-		places: make(chan struct{}, maxOutstanding),
+		outstanding: make(chan struct{}, maxOutstanding),
 	}
 	limiter := rate.NewLimiter(rate.Limit(options.Rate), 1)
 	arrivals, cancel := context.WithTimeout(ctx, options.Over)
 	defer cancel()
 	for number := 0; limiter.Wait(arrivals) == nil; number++ {
 		server := options.Servers[number%len(options.Servers)]
-		r.launch(func() error { return do(ctx, server, number) })
+		r.start(func() error { return do(ctx, server, number) })
 	}
 	r.wait.Wait()
 	return r.report
 }
 
 type runner struct {
-	wait   sync.WaitGroup
-	places chan struct{}
-	mu     sync.Mutex
-	report *Report
+	wait        sync.WaitGroup
+	outstanding chan struct{}
+	mu          sync.Mutex
+	report      *Report
 }
 
-func (r *runner) launch(work func() error) {
+func (r *runner) start(call func() error) {
 	r.report.Sent++
 	select {
-	case r.places <- struct{}{}:
+	case r.outstanding <- struct{}{}:
 	default:
 		r.report.Dropped++
 		return
 	}
 	r.wait.Go(func() {
 		began := time.Now()
-		err := work()
+		err := call()
 		r.record(time.Since(began), err)
-		<-r.places
+		<-r.outstanding
 	})
 }
 
@@ -103,11 +103,11 @@
 		return
 	}
 	r.report.Succeeded++
-	// A value out of range would be over two minutes; the run is over by then.
-	_ = r.report.Latency.RecordValue(max(took.Microseconds(), shortestMicros))
+	// Only a latency above two minutes is out of range; it is not recorded.
+	_ = r.report.Latency.RecordValue(max(took.Microseconds(), minLatencyMicros))
 }
 
-// Print shows a report for people.
+// Print writes the report as text on one line.
 func (r *Report) Print(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "sent %d, succeeded %d, dropped %d, refused %v, latency ms p50 %.2f p99 %.2f max %.2f\n",
 		r.Sent, r.Succeeded, r.Dropped, r.Refused,
@@ -120,19 +120,20 @@
 
 func millis(micros int64) float64 { return float64(micros) / 1000 }
 
-// Client sends the project's HTTP calls.
+// Client sends calls of the project's HTTP API.
 type Client struct {
 	HTTP  *http.Client
 	Token string
 }
 
-// NewClient makes a client that keeps enough connections for an open loop.
+// NewClient returns a client that keeps up to maxOutstanding idle connections per server.
 func NewClient(token string) *Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: maxOutstanding}
 	return &Client{HTTP: &http.Client{Transport: transport}, Token: token}
 }
 
-// Call sends one call and gives the answer's body, or the failure it carries.
+// Call sends one call with an optional idempotency key. It returns the body of the response,
+// or the failure that it carries as a *failure.Error.
 func (c *Client) Call(ctx context.Context, method, url, key string, body []byte) ([]byte, error) {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
@@ -161,7 +162,8 @@
 	return nil, &failure.Error{Code: refusal.Code, Message: refusal.Message, NotRun: refusal.NotRun, Revision: refusal.Revision}
 }
 
-// Requests sends requests of a service; keyed ones carry a key of their own.
+// Requests sends requests of a service; if keyed, each carries an idempotency key of its
+// own.
 func (c *Client) Requests(service string, keyed bool, body []byte) Do {
 	return func(ctx context.Context, server string, _ int) error {
 		key := ""
@@ -173,7 +175,7 @@
 	}
 }
 
-// Jobs submits jobs of a class.
+// Jobs submits jobs of a class of work.
 func (c *Client) Jobs(class string) Do {
 	return func(ctx context.Context, server string, _ int) error {
 		body, err := json.Marshal(api.SubmitRequest{Key: ulid.Make().String(), WorkClass: class})
--- a/internal/experiment/load/load_test.go
+++ b/internal/experiment/load/load_test.go
@@ -11,9 +11,9 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Answers that take far longer than the time between arrivals must not slow the
-// arrivals: a closed loop would hide the very overload that is looked for.
-func TestArrivalsDoNotWaitForAnswers(t *testing.T) {
+// Responses that take far longer than the time between arrivals must not slow down the
+// arrivals: a closed loop would hide the overload that is to be measured.
+func TestArrivalsDoNotWaitForResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		options := Options{Servers: []string{"a", "b"}, Rate: 100, Over: time.Second}
