--- a/internal/experiment/capacity/capacity_test.go
+++ b/internal/experiment/capacity/capacity_test.go
@@ -12,7 +12,7 @@
 	"github.com/matryer/is"
 )
 
-func TestFitFindsTheSlopeOfEachRole(t *testing.T) {
+func TestFitFindsSlopeOfEachRole(t *testing.T) {
 	is := is.New(t)
 	var points []Point
 	for _, size := range []float64{0, 10, 20} {
@@ -26,24 +26,24 @@
 	lines := Fit(points)
 	is.Equal(len(lines), 2)
 	is.Equal(lines[0].Role, "leader")
-	is.True(lines[0].Straight())
+	is.True(lines[0].Linear())
 	is.Equal(lines[0].At(100), 51.0)
 	is.Equal(lines[1].Slope, 0.0)
 	is.Equal(lines[1].At(100), 3.0)
 }
 
-// A quadratic measured at a few sizes must not be taken for a line: its slope
-// would promise far too little at the planned size.
-func TestFitSaysWhereGrowthIsNoLine(t *testing.T) {
+// Growth that is not linear must not be extrapolated by its slope: the slope of a quadratic
+// measured at a few sizes, for example, would predict far too little at the planned size.
+func TestFitDetectsNonlinearGrowth(t *testing.T) {
 	is := is.New(t)
 	var points []Point
 	for _, size := range []float64{0, 10, 20, 30, 400} {
 		points = append(points, Point{"workers", size, "leader", MetricCPU, 100 * (1 - 1/(1+size))})
 	}
-	is.True(!Fit(points)[0].Straight())
+	is.True(!Fit(points)[0].Linear())
 }
 
-func TestPointsSurviveTheirFile(t *testing.T) {
+func TestPointsRoundTripThroughFile(t *testing.T) {
 	is := is.New(t)
 	points := []Point{{"workers", 50, "entry", MetricMemory, 31.25}}
 	var file bytes.Buffer
@@ -55,7 +55,7 @@
 	is.True(err != nil)
 }
 
-func TestSampleTurnsCountersIntoRates(t *testing.T) {
+func TestSampleConvertsCountersToRates(t *testing.T) {
 	is := is.New(t)
 	served := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -77,5 +77,5 @@
 			is.True(p.Value > 0)
 		}
 	}
-	is.Equal(len(points), len(rates)+2)
+	is.Equal(len(points), len(rateCounters)+2)
 }
--- a/internal/experiment/capacity/files.go
+++ b/internal/experiment/capacity/files.go
@@ -17,7 +17,7 @@
 
 const columns = 5
 
-// WritePoints appends points as CSV: series, size, role, metric, value.
+// WritePoints writes points as CSV without a header: series, size, role, metric, value.
 func WritePoints(w io.Writer, points []Point) error {
 	writer := csv.NewWriter(w)
 	for _, p := range points {
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// ReadPoints reads what WritePoints wrote.
+// ReadPoints reads points in the format of WritePoints.
 func ReadPoints(r io.Reader) ([]Point, error) {
 	reader := csv.NewReader(r)
 	reader.FieldsPerRecord = columns
@@ -55,14 +55,14 @@
 
 func formatFloat(value float64) string { return strconv.FormatFloat(value, 'g', 6, 64) }
 
-// WriteTable prints the lines as a Markdown table.
+// WriteTable writes the fitted lines as a Markdown table.
 func WriteTable(w io.Writer, lines []*Line) error {
 	var text strings.Builder
 	text.WriteString("| series | role | metric | at 0 | slope per unit | variance explained | points |\n")
 	text.WriteString("|---|---|---|---|---|---|---|\n")
 	for _, l := range lines {
 		shape := fmt.Sprintf("%.3f", l.Fit)
-		if !l.Straight() {
+		if !l.Linear() {
 			shape += " (no line)"
 		}
 		fmt.Fprintf(&text, "| %s | %s | %s | %.4g | %.4g | %s | %s |\n", l.Series, l.Role, l.Metric, l.Intercept, l.Slope, shape, pointList(l.Points))
@@ -86,7 +86,8 @@
 	plotHeight = 11 * vg.Centimeter
 )
 
-// Plot draws one metric of one series, a line and its points for each role.
+// Plot draws one metric of one series, the measured points joined by lines for each role, to
+// a file whose extension gives the format.
 func Plot(path, series, metric string, lines []*Line) error {
 	p := plot.New()
 	p.Title.Text = metric + " by " + series
--- a/internal/experiment/capacity/fit.go
+++ b/internal/experiment/capacity/fit.go
@@ -7,8 +7,8 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Line is a fit through the points of one role and metric over the sizes of a
-// series.
+// Line is a least-squares line through the points of one role and metric over the sizes of
+// a series.
 type Line struct {
 	Series    string
 	Role      string
@@ -16,25 +16,25 @@
 	Points    []Point
 	Intercept float64
 	Slope     float64
-	// Fit is the share of the variance that the line explains.
+	// Fit is the share of the variance that the line explains (R squared).
 	Fit float64
 }
 
-// straight is the least share of variance that still counts as a line; what
-// grows otherwise is shown as it is.
-const straight = 0.9
+// minVarianceExplained is the least share of variance for which growth counts as linear;
+// other growth is shown in the table with its points only.
+const minVarianceExplained = 0.9
 
-// Straight tells whether growth may be extrapolated by the slope.
-func (l *Line) Straight() bool { return l.Fit >= straight }
+// Linear reports whether growth may be extrapolated by the slope.
+func (l *Line) Linear() bool { return l.Fit >= minVarianceExplained }
 
-// At is the line's value at a size.
+// At returns the line's value at a size.
 func (l *Line) At(size float64) float64 { return l.Intercept + l.Slope*size }
 
 type lineKey struct{ series, role, metric string }
 
-// Fit groups the points and fits a least-squares line through each group. Of
-// several processes in one role the mean counts; a metric that stays at zero
-// has nothing to tell and is left out.
+// Fit groups the points by series, role and metric and fits a least-squares line through
+// each group. Several processes of one role count by their mean. Metrics that are always
+// zero are left out.
 func Fit(points []Point) []*Line {
 	groups := map[lineKey][]Point{}
 	for _, point := range points {
@@ -53,7 +53,7 @@
 	return lines
 }
 
-// meanBySize joins the points of one size into their mean, sizes ascending.
+// meanBySize replaces the points of each size by their mean, sorted by size.
 func meanBySize(group []Point) []Point {
 	bySize := map[float64][]float64{}
 	for _, point := range group {
--- a/internal/experiment/capacity/sample.go
+++ b/internal/experiment/capacity/sample.go
@@ -1,6 +1,6 @@
-// Package capacity measures what running instances spend and fits lines
-// through the points: the slopes behind docs/CAPACITY.md. A script starts the
-// processes; this package only reads them.
+// Package capacity measures the resource use of running instances and fits lines through
+// the points, which gives the slopes in docs/CAPACITY.md. A script starts the processes;
+// this package only reads them.
 package capacity
 
 import (
@@ -17,20 +17,20 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Target is one process to read: a role, its process id and its address.
+// Target is one process to measure: its role, process id and base URL.
 type Target struct {
 	Role   string
 	PID    int
 	Server string
 }
 
-// ParseTargets reads "leader=123@http://127.0.0.1:7100,...". A target without
-// an address, such as a stand-in, has its process read alone.
+// ParseTargets parses a list such as "leader=123@http://127.0.0.1:7100,...". Of a target
+// without an address, such as a stand-in, only the process itself is measured.
 func ParseTargets(text string) ([]Target, error) {
 	var targets []Target
 	for _, part := range strings.Split(text, ",") {
-		role, place, ok := strings.Cut(part, "=")
-		pidText, server, _ := strings.Cut(place, "@")
+		role, process, ok := strings.Cut(part, "=")
+		pidText, server, _ := strings.Cut(process, "@")
 		pid, err := strconv.Atoi(pidText)
 		if !ok || err != nil {
 			return nil, failure.New(failure.BadRequest, "%q is not role=pid@address", part)
@@ -49,21 +49,21 @@
 	Value  float64
 }
 
-// The metrics that are read from the process itself.
+// The metrics that the operating system gives for a process.
 const (
 	MetricCPU    = "cpu_percent_of_a_core"
 	MetricMemory = "resident_mb"
 )
 
-// rates are the counters of /debug/vars that become values per second.
-var rates = []string{
+// rateCounters are the counters of /debug/vars that are converted to rates per second.
+var rateCounters = []string{
 	"peer_bytes_sent", "peer_bytes_received",
 	"http_bytes_sent", "http_bytes_received",
 	"upstream_bytes_sent", "upstream_bytes_received",
 	"control_commits", "control_syncs",
 }
 
-// reading is a process at one moment.
+// reading holds the measurements of a process at one time.
 type reading struct {
 	at       time.Time
 	cpu      time.Duration
@@ -71,7 +71,8 @@
 	counters map[string]float64
 }
 
-// Sample reads every target twice, the given time apart, and gives the points.
+// Sample reads every target twice, the given time apart, and returns the points of the
+// given series and size. The metrics of counters are rates per second.
 func Sample(ctx context.Context, series string, size float64, token string, targets []Target, over time.Duration) ([]Point, error) {
 	before, err := readAll(ctx, token, targets)
 	if err != nil {
@@ -88,7 +89,7 @@
 	}
 	var points []Point
 	for i, target := range targets {
-		for metric, value := range between(before[i], after[i]) {
+		for metric, value := range pointValues(before[i], after[i]) {
 			points = append(points, Point{Series: series, Size: size, Role: target.Role, Metric: metric, Value: value})
 		}
 	}
@@ -106,7 +107,7 @@
 	return readings, nil
 }
 
-func between(before, after reading) map[string]float64 {
+func pointValues(before, after reading) map[string]float64 {
 	seconds := after.at.Sub(before.at).Seconds()
 	values := map[string]float64{
 		MetricCPU:    100 * (after.cpu - before.cpu).Seconds() / seconds,
@@ -135,10 +136,10 @@
 	return r, err
 }
 
-// ticksPerSecond is the unit of /proc's processor times on Linux.
+// ticksPerSecond is the unit of the processor times in /proc on Linux.
 const ticksPerSecond = 100
 
-// The fields of /proc/PID/stat after the command's name, counted from 0.
+// Indices of fields of /proc/PID/stat after the command name, from 0.
 const (
 	fieldUserTicks   = 11
 	fieldSystemTicks = 12
@@ -199,13 +200,13 @@
 	if err := json.NewDecoder(response.Body).Decode(&all); err != nil {
 		return nil, failure.Wrap(failure.WrongAnswer, err, "counters of %s", server)
 	}
-	wanted := map[string]float64{}
-	for _, name := range rates {
+	selected := map[string]float64{}
+	for _, name := range rateCounters {
 		value, err := strconv.ParseFloat(string(all[name]), 64)
 		if err != nil {
 			return nil, failure.New(failure.WrongAnswer, "%s has no counter %s", server, name)
 		}
-		wanted[name] = value
+		selected[name] = value
 	}
-	return wanted, nil
+	return selected, nil
 }
