--- a/internal/experiment/inforce/inforce.go
+++ b/internal/experiment/inforce/inforce.go
@@ -1,5 +1,5 @@
-// Package inforce measures how long a change of the declarations takes from its
-// acceptance until every instance has it.
+// Package inforce measures how long a change of the declarations takes from its acceptance
+// until it is in force on every instance.
 package inforce
 
 import (
@@ -17,31 +17,33 @@
 )
 
 const (
-	// lookEvery is the pause between two looks at one instance, and so about
-	// how much too long a measured time can be.
-	lookEvery = time.Millisecond
-	// patience bounds the wait for one change.
-	patience = 30 * time.Second
-	digits   = 3
+	// pollInterval is the time between two polls of an instance, and thus about the
+	// largest error of a measured time, which is always too long.
+	pollInterval = time.Millisecond
+	// changeTimeout limits the wait for one change.
+	changeTimeout     = 30 * time.Second
+	significantDigits = 3
 )
 
-// Options of one run.
+// Options configures one run: the base URLs of all instances, the number of changes and the
+// least time between two of them.
 type Options struct {
 	Servers []string
 	Changes int
 	Every   time.Duration
 }
 
-// Report holds times in microseconds.
+// Report holds the measured times in microseconds, and the number of changes that failed.
 type Report struct {
-	// Accepted is from sending a change to its answer.
+	// Accepted holds the times from sending a change to its response.
 	Accepted *hdrhistogram.Histogram
-	// Everywhere is from the answer until the last instance has the change.
+	// Everywhere holds the times from the response until the last instance has the change.
 	Everywhere *hdrhistogram.Histogram
 	Failed     int
 }
 
-// Run applies changes one after another, each through the next instance.
+// Run applies changes one after another, each through the next instance. It returns an
+// error if a change does not reach every instance within changeTimeout.
 func Run(ctx context.Context, options Options, client *load.Client, changer *load.Changer) (*Report, error) {
 	report := &Report{Accepted: newHistogram(), Everywhere: newHistogram()}
 	ticker := time.NewTicker(options.Every)
@@ -58,7 +60,7 @@
 			continue
 		}
 		accepted := time.Now()
-		if err := everywhere(ctx, client, options.Servers, changer.Revision()); err != nil {
+		if err := waitForAll(ctx, client, options.Servers, changer.Revision()); err != nil {
 			return report, err
 		}
 		_ = report.Accepted.RecordValue(accepted.Sub(sent).Microseconds())
@@ -68,21 +70,21 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, patience.Microseconds(), digits)
+	return hdrhistogram.New(1, changeTimeout.Microseconds(), significantDigits)
 }
 
-// everywhere waits until each instance has the revision.
-func everywhere(ctx context.Context, client *load.Client, servers []string, revision uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+// waitForAll waits until every instance has the revision.
+func waitForAll(ctx context.Context, client *load.Client, servers []string, revision uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, server := range servers {
-		group.Go(func() error { return has(ctx, client, server, revision) })
+		group.Go(func() error { return waitForRevision(ctx, client, server, revision) })
 	}
 	return group.Wait()
 }
 
-func has(ctx context.Context, client *load.Client, server string, revision uint64) error {
+func waitForRevision(ctx context.Context, client *load.Client, server string, revision uint64) error {
 	for {
 		text, err := client.Call(ctx, http.MethodGet, server+api.PathStatus, "", nil)
 		if err != nil {
@@ -95,6 +97,6 @@
 		if status.Revision >= revision {
 			return nil
 		}
-		time.Sleep(lookEvery)
+		time.Sleep(pollInterval)
 	}
 }
