--- a/internal/experiment/timeline/timeline_test.go
+++ b/internal/experiment/timeline/timeline_test.go
@@ -9,7 +9,7 @@
 	"pinewinch.example/pinewinch/internal/experiment/timeline"
 )
 
-func TestEventsComeByTimeAndThenAsAdded(t *testing.T) {
+func TestEventsAreOrderedByTimeThenInsertion(t *testing.T) {
 	is := is.New(t)
 	queue := timeline.Queue[string]{}
 	queue.Add(2*time.Second, "c")
@@ -17,10 +17,10 @@
 	queue.Add(2*time.Second, "d")
 	queue.Add(time.Second, "b")
 	is.Equal(queue.At(), time.Second)
-	var came []string
+	var got []string
 	for queue.Len() > 0 {
 		_, event := queue.Next()
-		came = append(came, event)
+		got = append(got, event)
 	}
-	is.Equal(came, []string{"a", "b", "c", "d"})
+	is.Equal(got, []string{"a", "b", "c", "d"})
 }
