--- a/internal/experiment/benchcmd/benchcmd.go
+++ b/internal/experiment/benchcmd/benchcmd.go
@@ -1,5 +1,5 @@
-// Package benchcmd is the command line of the experiments: one file a
-// subcommand, each added to subcommands.
+// Package benchcmd is the command line of the experiments. Each file holds subcommands, which
+// are listed in subcommands.
 package benchcmd
 
 import (
@@ -14,7 +14,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// subcommands makes each experiment's command; it prints to out.
+// subcommands holds the constructors of the experiments' commands, which print to out.
 var subcommands = []func(out io.Writer) *ffcli.Command{
 	sampleCommand,
 	fitCommand,
@@ -27,8 +27,9 @@
 	compareCommand,
 }
 
-// Run runs one experiment and gives the exit code.
-func Run(args []string, out, errs io.Writer) int {
+// Run runs the experiment that args name and returns the exit code. It prints results to
+// out and errors to stderr.
+func Run(args []string, out, stderr io.Writer) int {
 	root := &ffcli.Command{
 		ShortUsage: "pinewinch-bench <experiment> [flags]",
 		Exec:       func(context.Context, []string) error { return flag.ErrHelp },
@@ -40,6 +41,6 @@
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
-	fmt.Fprintln(errs, err)
+	fmt.Fprintln(stderr, err)
 	return failure.From(err).ExitCode()
 }
--- a/internal/experiment/benchcmd/capacity.go
+++ b/internal/experiment/benchcmd/capacity.go
@@ -16,8 +16,8 @@
 
 func sampleCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("sample", flag.ContinueOnError)
-	series := flags.String("series", "", "what grows from sample to sample")
-	size := flags.Float64("size", 0, "how much of it there is now")
+	series := flags.String("series", "", "name of the quantity that varies between samples")
+	size := flags.Float64("size", 0, "current value of that quantity")
 	targets := flags.String("targets", "", "role=pid@address, separated by commas")
 	token := flags.String("token", "", "operator's token")
 	over := flags.Duration("over", 10*time.Second, "time between the two readings")
@@ -34,12 +34,12 @@
 	}}
 }
 
-// plotted are the metrics that get a picture for each series.
-var plotted = []string{capacity.MetricCPU, capacity.MetricMemory, "peer_bytes_sent_per_s", "http_bytes_received_per_s"}
+// plottedMetrics are the metrics that are plotted for each series.
+var plottedMetrics = []string{capacity.MetricCPU, capacity.MetricMemory, "peer_bytes_sent_per_s", "http_bytes_received_per_s"}
 
 func fitCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("fit", flag.ContinueOnError)
-	in := flags.String("in", "", "points from sample")
+	in := flags.String("in", "", "file of points written by the sample command")
 	folder := flags.String("plots", "", "folder for the plots; none if empty")
 	return &ffcli.Command{Name: "fit", FlagSet: flags, Exec: func(context.Context, []string) error {
 		file, err := os.Open(*in)
@@ -69,7 +69,7 @@
 			continue
 		}
 		done[line.Series] = true
-		for _, metric := range plotted {
+		for _, metric := range plottedMetrics {
 			path := filepath.Join(folder, line.Series+"-"+metric+".png")
 			if err := capacity.Plot(path, line.Series, metric, lines); err != nil {
 				return err
--- a/internal/experiment/benchcmd/detector.go
+++ b/internal/experiment/benchcmd/detector.go
@@ -17,10 +17,10 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// teachShare is the part of a trace that only teaches.
-const teachShare = 1.0 / 3
+// warmupShare is the part of a trace that only trains the policy.
+const warmupShare = 1.0 / 3
 
-// candidate is one way to decide, made anew for each trace.
+// candidate is a policy to compare; make creates a new instance for each trace.
 type candidate struct {
 	name string
 	make func() detector.Policy
@@ -31,10 +31,10 @@
 	for _, delay := range []time.Duration{30 * time.Second, 2 * time.Minute, 10 * time.Minute, time.Hour} {
 		all = append(all, candidate{"fixed " + delay.String(), func() detector.Policy { return detector.Fixed(delay) }})
 	}
-	for _, most := range []time.Duration{2 * time.Minute, 10 * time.Minute, 2 * time.Hour} {
+	for _, maxDelay := range []time.Duration{2 * time.Minute, 10 * time.Minute, 2 * time.Hour} {
 		config := detector.LearnedConfig
-		config.MaxDelay, config.Rule = most, learned.Quantile
-		all = append(all, candidate{"quantile, at most " + most.String(), func() detector.Policy { return learned.New(config) }})
+		config.MaxDelay, config.Rule = maxDelay, learned.Quantile
+		all = append(all, candidate{"quantile, at most " + maxDelay.String(), func() detector.Policy { return learned.New(config) }})
 	}
 	for _, cost := range []time.Duration{time.Minute, 10 * time.Minute, time.Hour} {
 		config := detector.LearnedConfig
@@ -46,11 +46,11 @@
 
 func detectorCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("detector", flag.ContinueOnError)
-	seeds := flags.Uint64("seeds", 20, "how many traces")
-	kinds := flags.Int("kinds", detector.Kinds(), "kinds of peers, the longest silences last")
-	peers := flags.Int("peers", 3, "of each kind")
-	days := flags.Int("days", 90, "of a generated trace")
-	recorded := flags.String("recorded", "", "file of recorded silences, one peer and duration a line")
+	seeds := flags.Uint64("seeds", 20, "number of traces")
+	kinds := flags.Int("kinds", detector.Kinds(), "number of kinds of peers, in order of rising length of their silences")
+	peers := flags.Int("peers", 3, "peers of each kind")
+	days := flags.Int("days", 90, "days of a generated trace")
+	recorded := flags.String("recorded", "", "file of recorded silences, one peer and duration per line")
 	return &ffcli.Command{Name: "detector", FlagSet: flags, Exec: func(context.Context, []string) error {
 		var traces [][]detector.Silence
 		for seed := range *seeds {
@@ -78,9 +78,10 @@
 	return detector.Read(file)
 }
 
-// compareDelays prints sums over the traces. The last two columns are the
-// verdict: a fixed delay with as few needless repairs on the same trace, and in
-// how many traces the candidate repairs real losses sooner than that.
+// compareDelays prints a table with sums of counts and means of delays over the traces that
+// have losses. The last two columns give the result: the fixed delay with as few needless
+// repairs on the same trace, and in how many traces the candidate repairs real losses sooner
+// than that.
 func compareDelays(out io.Writer, traces [][]detector.Silence) error {
 	table := tablewriter.NewWriter(out)
 	table.Header([]string{"delay", "ended", "losses", "needless repairs", "mean delay", "median delay", "fixed for as few", "sooner in"})
@@ -89,23 +90,23 @@
 		var equivalent time.Duration
 		sooner, count := 0, 0
 		for _, trace := range traces {
-			o := detector.Replay(c.make(), trace, teachShare)
+			o := detector.Replay(c.make(), trace, warmupShare)
 			if o.Losses == 0 {
 				continue
 			}
 			count++
-			fixed := detector.Equivalent(trace, teachShare, o.Needless)
+			fixed := detector.Equivalent(trace, warmupShare, o.Needless)
 			if o.MeanDelay < fixed {
 				sooner++
 			}
 			sum.Add(o)
 			equivalent += fixed
 		}
-		traced := time.Duration(max(count, 1))
+		tracesCounted := time.Duration(max(count, 1))
 		err := table.Append([]string{
 			c.name, fmt.Sprint(sum.Silences - sum.Losses), fmt.Sprint(sum.Losses), fmt.Sprint(sum.Needless),
-			(sum.MeanDelay / traced).Round(time.Second).String(), (sum.MedianDelay / traced).Round(time.Second).String(),
-			(equivalent / traced).Round(time.Second).String(), fmt.Sprintf("%d of %d", sooner, count),
+			(sum.MeanDelay / tracesCounted).Round(time.Second).String(), (sum.MedianDelay / tracesCounted).Round(time.Second).String(),
+			(equivalent / tracesCounted).Round(time.Second).String(), fmt.Sprintf("%d of %d", sooner, count),
 		})
 		if err != nil {
 			return err
--- a/internal/experiment/benchcmd/load.go
+++ b/internal/experiment/benchcmd/load.go
@@ -16,13 +16,13 @@
 func loadCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("load", flag.ContinueOnError)
 	servers := flags.String("servers", "http://127.0.0.1:7100", "instances, separated by commas")
-	token := flags.String("token", "", "customer's token, or operator's for changes")
-	perSecond := flags.Float64("rate", 10, "arrivals a second")
-	over := flags.Duration("over", 10*time.Second, "how long")
-	kind := flags.String("kind", "requests", "requests, keyed, jobs or changes")
-	name := flags.String("name", "", "service of requests, class of work of jobs and changes")
+	token := flags.String("token", "", "customer's token, or operator's token for changes")
+	perSecond := flags.Float64("rate", 10, "arrivals per second")
+	over := flags.Duration("over", 10*time.Second, "length of the run")
+	kind := flags.String("kind", "requests", "kind of load: requests, keyed, jobs or changes")
+	name := flags.String("name", "", "service for requests, class of work for jobs and changes")
 	customer := flags.String("customer", "crews", "customer of changed entries")
-	bytes := flags.Int("bytes", 100, "size of a request's body")
+	bytes := flags.Int("bytes", 100, "size of the request body in bytes")
 	return &ffcli.Command{Name: "load", FlagSet: flags, Exec: func(ctx context.Context, _ []string) error {
 		options := load.Options{Servers: strings.Split(*servers, ","), Token: *token, Rate: *perSecond, Over: *over}
 		client := load.NewClient(*token)
@@ -42,7 +42,7 @@
 			}
 			do = changer.Do
 		default:
-			return failure.New(failure.BadRequest, "no kind of load %q", *kind)
+			return failure.New(failure.BadRequest, "unknown kind of load %q", *kind)
 		}
 		return load.Run(ctx, options, do).Print(out)
 	}}
--- a/internal/experiment/benchcmd/overload.go
+++ b/internal/experiment/benchcmd/overload.go
@@ -19,13 +19,13 @@
 func overloadCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("overload", flag.ContinueOnError)
 	path := flags.String("deployment", "examples/overload/coedlinell-85.ini", "description of the deployment")
-	first := flags.Uint64("first-seed", 11, "the first day")
-	last := flags.Uint64("last-seed", 60, "the last day")
-	without := flags.String("without", "", "variants beside all mechanisms: names to switch off, separated by commas in a variant and by slashes between variants")
+	first := flags.Uint64("first-seed", 11, "seed of the first day")
+	last := flags.Uint64("last-seed", 60, "seed of the last day")
+	without := flags.String("without", "", "mechanisms to disable in further variants: names separated by commas within a variant, variants by slashes")
 	jobs := flags.Int("jobs", max(runtime.NumCPU()/2, 1), "days at a time")
 	return &ffcli.Command{
 		Name: "overload", FlagSet: flags, ShortUsage: "pinewinch-bench overload [flags]",
-		ShortHelp: "days with more work than room through the real pass, variants side by side",
+		ShortHelp: "simulate days of overload with the real scheduling pass and compare variants",
 		Exec: func(context.Context, []string) error {
 			deployment, err := overload.Load(*path)
 			if err != nil {
@@ -39,10 +39,10 @@
 				}
 				variants = append(variants, overload.Variant{Name: "without " + names, Off: off})
 			}
-			var ended atomic.Int64
+			var completed atomic.Int64
 			all := len(variants) * int(*last-*first+1)
 			compared := overload.Compare(deployment, variants, *first, *last, *jobs, func() {
-				_, _ = fmt.Fprintf(os.Stderr, "\r%d of %d days", ended.Add(1), all)
+				_, _ = fmt.Fprintf(os.Stderr, "\r%d of %d days", completed.Add(1), all)
 			})
 			_, _ = fmt.Fprintln(os.Stderr)
 			return compared.Write(out)
--- a/internal/experiment/benchcmd/replay.go
+++ b/internal/experiment/benchcmd/replay.go
@@ -16,11 +16,11 @@
 func replayCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("replay", flag.ContinueOnError)
 	seed := flags.Uint64("seed", 1, "seed of the workloads")
-	only := flags.String("only", "", "one deployment: coedlinell, tokachi or planned")
-	load := flags.Float64("load", 0, "offered load as a share of the accelerators; 0 for the deployment's own")
-	weight := flags.Uint("fragmentation-weight", 50, "of the rules, 0 to 100")
-	policies := flags.String("policies", "first-fit,backfill,pinewinch", "which to compare, separated by commas")
-	plots := flags.String("plots", "", "folder for a plot a deployment")
+	only := flags.String("only", "", "run one deployment only: coedlinell, tokachi or planned")
+	load := flags.Float64("load", 0, "offered load as a share of the accelerators; 0 for the default of the deployment")
+	weight := flags.Uint("fragmentation-weight", 50, "fragmentation weight of the scheduling rules, 0 to 100")
+	policies := flags.String("policies", "first-fit,backfill,pinewinch", "policies to compare, separated by commas")
+	plots := flags.String("plots", "", "folder for the plots, one per deployment; none if empty")
 	return &ffcli.Command{Name: "replay", FlagSet: flags, Exec: func(context.Context, []string) error {
 		var all []replay.Row
 		for _, deployment := range replay.Deployments() {
@@ -32,7 +32,7 @@
 			}
 			scenario := deployment.Make(*seed)
 			scenario.FragmentationWeight = uint32(*weight)
-			rows := compare(scenario, strings.Split(*policies, ","))
+			rows := replayPolicies(scenario, strings.Split(*policies, ","))
 			if *plots != "" {
 				if err := replay.Plot(filepath.Join(*plots, "replay-"+deployment.Name+".svg"), rows); err != nil {
 					return err
@@ -44,8 +44,8 @@
 	}}
 }
 
-// compare replays a scenario under each policy, side by side.
-func compare(scenario *replay.Scenario, names []string) []replay.Row {
+// replayPolicies replays a scenario under each named policy, concurrently.
+func replayPolicies(scenario *replay.Scenario, names []string) []replay.Row {
 	var chosen []replay.Policy
 	for _, policy := range replay.Policies() {
 		for _, name := range names {
--- a/internal/experiment/benchcmd/slots.go
+++ b/internal/experiment/benchcmd/slots.go
@@ -13,10 +13,10 @@
 func slotsCommand(out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("slots", flag.ContinueOnError)
 	seed := flags.Uint64("seed", 1, "seed of arrivals and service times")
-	requests := flags.Int("requests", 200_000, "requests of each run")
+	requests := flags.Int("requests", 200_000, "number of requests of each run")
 	return &ffcli.Command{
 		Name:      "slots",
-		ShortHelp: "compare ways to share minions' slots among entry instances",
+		ShortHelp: "compare policies that share minions' slots among entry instances",
 		FlagSet:   flags,
 		Exec: func(context.Context, []string) error {
 			slots.Report(out, *seed, *requests)
