--- a/internal/experiment/gangs/check_test.go
+++ b/internal/experiment/gangs/check_test.go
@@ -62,7 +62,7 @@
 			e.Classes = map[string]Class{"pair": {Name: "pair", Tasks: 2, Idempotent: true}}
 			e.Runs = append(e.Runs, run(0, 3, "a", 5, 6, tasks.Stopped))
 		}, RanAfterCompletion},
-		"task completed twice":                {func(e *Evidence) { e.Runs[0].Ending = tasks.Completed }, TaskCompletedTwice},
+		"done twice":                          {func(e *Evidence) { e.Runs[0].Ending = tasks.Completed }, TaskCompletedTwice},
 		"unknown checkpoint":                  {func(e *Evidence) { e.Runs[2].From = 700 }, UnknownCheckpoint},
 		"preempted too late":                  {func(e *Evidence) { e.Submitted[0].SubmittedAt = at(-4) }, PreemptionLate},
 		"preempted too late without failures": {func(e *Evidence) { e.Bounds.Quiet, e.Bounds.QuietWindow = time.Second, time.Second }, PreemptionLate},
