--- a/internal/experiment/benchcmd/compare.go
+++ b/internal/experiment/benchcmd/compare.go
@@ -19,7 +19,7 @@
 	token := flags.String("token", "", "customer's token")
 	repeatable := flags.String("idempotent", "report", "idempotent service")
 	once := flags.String("once", "cut-order", "service that is not idempotent")
-	perSecond := flags.Float64("rate", 400, "arrivals per second, for the latencies")
+	perSecond := flags.Float64("rate", 400, "arrivals a second, for the latencies")
 	callers := flags.Int("callers", 16, "concurrent callers, for the saturated rate")
 	rounds := flags.Int("rounds", 5, "rounds of each mode")
 	round := flags.Duration("round", time.Second, "length of one round")
--- a/internal/experiment/benchcmd/detector.go
+++ b/internal/experiment/benchcmd/detector.go
@@ -48,7 +48,7 @@
 	flags := flag.NewFlagSet("detector", flag.ContinueOnError)
 	seeds := flags.Uint64("seeds", 20, "number of traces")
 	kinds := flags.Int("kinds", detector.Kinds(), "number of kinds of peers, in order of rising length of their silences")
-	peers := flags.Int("peers", 3, "peers of each kind")
+	peers := flags.Int("peers", 3, "of each kind")
 	days := flags.Int("days", 90, "days of a generated trace")
 	recorded := flags.String("recorded", "", "file of recorded silences, one peer and duration per line")
 	return &ffcli.Command{Name: "detector", FlagSet: flags, Exec: func(context.Context, []string) error {
--- a/internal/experiment/benchcmd/inforce.go
+++ b/internal/experiment/benchcmd/inforce.go
@@ -21,7 +21,7 @@
 	token := flags.String("token", "", "operator's token")
 	customer := flags.String("customer", "crews", "customer of changed entries")
 	class := flags.String("class", "", "class of changed entries; should be one that no worker can run")
-	changes := flags.Int("changes", 200, "number of changes")
+	changes := flags.Int("changes", 200, "how many")
 	every := flags.Duration("every", 50*time.Millisecond, "least time between two changes")
 	return &ffcli.Command{Name: "inforce", FlagSet: flags, Exec: func(ctx context.Context, _ []string) error {
 		options := inforce.Options{Servers: strings.Split(*servers, ","), Changes: *changes, Every: *every}
