--- a/internal/experiment/gangs/jobs.go
+++ b/internal/experiment/gangs/jobs.go
@@ -146,7 +146,7 @@
 	}
 }
 
-// checkPreemption requires that guaranteed work started within the bound, extended by the
+// checkPreemption requires that guaranteed work started within the limit, extended by the
 // time in which something failed meanwhile.
 func (c *check) checkPreemption(s Submitted) {
 	for _, e := range c.byName[s.ID] {
@@ -156,14 +156,14 @@
 		}
 		took := last.Sub(s.SubmittedAt)
 		c.LongestPreemption = max(c.LongestPreemption, took)
-		bound := c.Bounds.TakeBack + c.faultTime(s.SubmittedAt, last)
+		limit := c.Bounds.TakeBack + c.faultTime(s.SubmittedAt, last)
 		if faultFree := c.Bounds.Quiet; faultFree > 0 && c.faultTime(s.SubmittedAt, s.SubmittedAt.Add(c.Bounds.QuietWindow)) == 0 {
 			c.QuietTakeBacks++
 			c.countPreemptedRuns(s.ID, s.SubmittedAt, c.firstFailure(s.SubmittedAt, last))
-			bound = faultFree
+			limit = faultFree
 		}
-		if took > bound {
-			c.add(PreemptionLate, "%s after %s, bound %s", s.ID, took, bound)
+		if took > limit {
+			c.add(PreemptionLate, "%s after %s, bound %s", s.ID, took, limit)
 		}
 		return
 	}
