--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	waitLimit = 30 * time.Second
-	waitPause = 50 * time.Millisecond
+	revisionTimeout      = 30 * time.Second
+	revisionPollInterval = 50 * time.Millisecond
 )
 
-// applyOptions are the flags of apply.
+// applyOptions holds the flags of the apply subcommand.
 type applyOptions struct {
 	wait            bool
 	client          string
@@ -32,17 +32,17 @@
 	expected        int64
 }
 
-// applied is the outcome of an apply as JSON.
+// applied is the JSON output of apply and diff.
 type applied struct {
 	Set       []string `json:"set,omitempty"`
 	Remove    []string `json:"remove,omitempty"`
 	Revision  uint64   `json:"revision"`
 	Instances int      `json:"instances_in_force,omitempty"`
-	// Earlier is set when this was a resend: the revision is the first outcome.
+	// Earlier is set if this was a resend: Revision is that of the first outcome.
 	Earlier bool `json:"earlier,omitempty"`
 }
 
-// anyRevision stands for the revision that the tool has read itself.
+// anyRevision stands for the revision that the tool itself has read.
 const anyRevision = -1
 
 func (t *Tool) applyCommand() *ffcli.Command {
@@ -53,7 +53,7 @@
 	flags.BoolVar(&options.allowInfeasible, "allow-infeasible", false, "accept classes that no known worker could run")
 	flags.Int64Var(&options.expected, "revision", anyRevision, "the revision that the change was made from; refused if there is a newer one")
 	return t.command("apply", "FILE|FOLDER", flags, func(ctx context.Context, args []string) error {
-		path, err := one(args, "file or folder")
+		path, err := singleArgument(args, "file or folder")
 		if err != nil {
 			return err
 		}
@@ -63,7 +63,7 @@
 
 func (t *Tool) diffCommand() *ffcli.Command {
 	return t.command("diff", "FILE|FOLDER", t.flags("diff"), func(ctx context.Context, args []string) error {
-		path, err := one(args, "file or folder")
+		path, err := singleArgument(args, "file or folder")
 		if err != nil {
 			return err
 		}
@@ -75,7 +75,7 @@
 	})
 }
 
-// comparison is what an apply would do to the declarations in force.
+// comparison is the change that an apply would make to the declarations in force.
 type comparison struct {
 	wanted   []*controlpb.Item
 	change   declaration.Change
@@ -125,8 +125,8 @@
 			return err
 		}
 	}
-	// A named apply is sent even if nothing differs: it may be the resend of one
-	// that was accepted, whose outcome the log still holds.
+	// An apply with a client name is sent even if nothing differs: it may be the resend
+	// of one that was accepted, whose outcome is still in the replicated state.
 	if compared.change.Empty() && options.client == "" {
 		return t.finishApply(ctx, outcome, options)
 	}
@@ -135,7 +135,7 @@
 		return err
 	}
 	reply := api.ApplyReply{}
-	call := &exchange{method: http.MethodPost, path: api.PathDeclarations, repeatable: true}
+	call := &apiCall{method: http.MethodPost, path: api.PathDeclarations, idempotent: true}
 	if err := t.call(ctx, call, request, &reply); err != nil {
 		return err
 	}
@@ -171,8 +171,9 @@
 	return request, nil
 }
 
-// clientName ties a named apply to what it declares. The name alone would give
-// the outcome of an earlier apply to one with other contents.
+// clientName combines the name given for an apply with a hash of its declarations.
+// With the name alone, an apply with other contents would get the outcome of an
+// earlier one. Without a name it returns a new unique one.
 func clientName(wanted []*controlpb.Item, name string) string {
 	if name == "" {
 		return ulid.Make().String()
@@ -227,9 +228,10 @@
 	return nil
 }
 
-// awaitRevision returns the number of live instances once all have the revision.
+// awaitRevision polls until every live instance has applied the revision, and returns
+// their number.
 func (t *Tool) awaitRevision(ctx context.Context, revision uint64) (int, error) {
-	ctx, cancel := context.WithTimeout(ctx, waitLimit)
+	ctx, cancel := context.WithTimeout(ctx, revisionTimeout)
 	defer cancel()
 	for {
 		members := []api.Instance{}
@@ -242,7 +244,7 @@
 		select {
 		case <-ctx.Done():
 			return 0, failure.Ran(failure.OutcomeUnknown, failure.NotRunFalse, ctx.Err(), "revision %d is accepted but not yet everywhere", revision)
-		case <-time.After(waitPause):
+		case <-time.After(revisionPollInterval):
 		}
 	}
 }
--- a/internal/command/client.go
+++ b/internal/command/client.go
@@ -19,33 +19,33 @@
 
 const (
 	requestTimeout = 30 * time.Second
-	// Pauses between rounds over the servers.
-	firstPause = 100 * time.Millisecond
-	longPause  = time.Second
+	// Backoff between rounds over the servers.
+	initialBackoff = 100 * time.Millisecond
+	maxBackoff     = time.Second
 )
 
-// exchange is one call of the interface.
-type exchange struct {
+// apiCall is one call of the HTTP API.
+type apiCall struct {
 	method string
 	path   string
 	body   []byte
 	header http.Header
-	// repeatable calls may be sent again when their outcome is unknown: reading,
-	// or carrying a key under which the system answers a resend with the first
-	// outcome. All others are sent again only if they surely did not run.
-	repeatable bool
+	// idempotent calls may be sent again when their outcome is unknown: they only read,
+	// or carry a key under which the system answers a resend with the first outcome.
+	// All others are sent again only if they certainly did not run.
+	idempotent bool
 }
 
-// client speaks to any of several instances.
+// client calls any of several instances.
 type client struct {
-	servers  []string
-	token    string
-	patience time.Duration
-	http     *http.Client
+	servers      []string
+	token        string
+	retryTimeout time.Duration
+	http         *http.Client
 }
 
-func newClient(servers, token, authority string, patience time.Duration) (*client, error) {
-	c := &client{token: token, patience: patience, http: &http.Client{Timeout: requestTimeout}}
+func newClient(servers, token, authority string, retryTimeout time.Duration) (*client, error) {
+	c := &client{token: token, retryTimeout: retryTimeout, http: &http.Client{Timeout: requestTimeout}}
 	for _, server := range strings.Split(servers, ",") {
 		server = strings.TrimSuffix(strings.TrimSpace(server), "/")
 		if !strings.Contains(server, "://") {
@@ -64,17 +64,17 @@
 	return c, nil
 }
 
-// send tries the servers in turn, and again in rounds until the patience ends,
-// as long as a further try is safe. An outcome that was unknown once stays so
-// until an answer comes: what a later server says of its own try ("refused, not
-// run") tells nothing of the earlier one.
-func (c *client) send(ctx context.Context, e *exchange) ([]byte, error) {
-	deadline := time.Now().Add(c.patience)
+// send tries the servers in turn, and retries in rounds until the retry timeout, as
+// long as a further attempt is safe. Once the outcome of an attempt was unknown, it stays
+// unknown until a server answers: what a later server reports about its own attempt
+// ("refused, not run") says nothing about the earlier one.
+func (c *client) send(ctx context.Context, call *apiCall) ([]byte, error) {
+	deadline := time.Now().Add(c.retryTimeout)
 	var unknown *failure.Error
-	for pause := firstPause; ; pause = min(2*pause, longPause) {
+	for backoff := initialBackoff; ; backoff = min(2*backoff, maxBackoff) {
 		var last *failure.Error
 		for range c.servers {
-			text, err := c.once(ctx, e)
+			text, err := c.sendOnce(ctx, call)
 			if err == nil {
 				return text, nil
 			}
@@ -82,7 +82,7 @@
 			if last.NotRun != failure.NotRunTrue && transient(last) {
 				unknown = last
 			}
-			if !mayRepeat(e, last) {
+			if !mayRetry(call, last) {
 				return nil, last
 			}
 			c.servers = append(c.servers[1:], c.servers[0])
@@ -95,17 +95,18 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(pause, last.RetryAfter)):
+		case <-time.After(max(backoff, last.RetryAfter)):
 		}
 	}
 }
 
-// mayRepeat tells whether another try is safe and could help.
-func mayRepeat(e *exchange, f *failure.Error) bool {
-	return transient(f) && (f.NotRun == failure.NotRunTrue || e.repeatable)
+// mayRetry reports whether another attempt is safe and could succeed.
+func mayRetry(call *apiCall, f *failure.Error) bool {
+	return transient(f) && (f.NotRun == failure.NotRunTrue || call.idempotent)
 }
 
-// transient failures can have gone at the next instance or a moment later.
+// transient reports whether the call could succeed at another instance or a moment
+// later.
 func transient(f *failure.Error) bool {
 	switch f.Code {
 	case failure.Unreachable, failure.NotReady, failure.StaleState, failure.NotLeader, failure.NoLeader,
@@ -115,27 +116,27 @@
 	return false
 }
 
-func (c *client) once(ctx context.Context, e *exchange) ([]byte, error) {
+func (c *client) sendOnce(ctx context.Context, call *apiCall) ([]byte, error) {
 	server := c.servers[0]
-	request, err := http.NewRequestWithContext(ctx, e.method, server+e.path, bytes.NewReader(e.body))
+	request, err := http.NewRequestWithContext(ctx, call.method, server+call.path, bytes.NewReader(call.body))
 	if err != nil {
 		return nil, failure.Wrap(failure.BadRequest, err, "address %s", server)
 	}
-	// The transport would send some requests again by itself; a body that
-	// cannot be rewound keeps the decision here.
+	// The transport would retry some requests by itself. A body without GetBody cannot
+	// be rewound, which leaves the decision to send.
 	request.GetBody = nil
-	for name, values := range e.header {
+	for name, values := range call.header {
 		request.Header[name] = values
 	}
 	request.Header.Set("Authorization", "Bearer "+c.token)
 	response, err := c.http.Do(request)
 	if err != nil {
-		return nil, sendFailure(err, server)
+		return nil, classifySendError(err, server)
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunUnknown, err, "%s %s at %s", e.method, e.path, server)
+		return nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunUnknown, err, "%s %s at %s", call.method, call.path, server)
 	}
 	if response.StatusCode >= http.StatusBadRequest {
 		return nil, decodeError(response, text)
@@ -143,8 +144,9 @@
 	return text, nil
 }
 
-// sendFailure tells a connection that never opened from a lost answer.
-func sendFailure(err error, server string) *failure.Error {
+// classifySendError distinguishes a connection that was never opened, so that the call
+// did not run, from a lost response.
+func classifySendError(err error, server string) *failure.Error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return failure.Wrap(failure.Unreachable, err, "dial %s", server)
--- a/internal/command/client_test.go
+++ b/internal/command/client_test.go
@@ -18,7 +18,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// server answers its calls in turn with the given behaviours and counts them.
+// server handles its calls in turn with the given behaviours, repeating the last, and
+// counts them.
 type server struct {
 	calls      atomic.Int64
 	behaviours []http.HandlerFunc
@@ -29,12 +30,12 @@
 	s.behaviours[min(call, len(s.behaviours))-1](w, r)
 }
 
-func answers(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) }
+func respond(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("done")) }
 
-// loses runs the call and drops the connection instead of answering.
-func loses(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// dropConnection runs the call and drops the connection without a response.
+func dropConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-func refuses(code failure.Code, notRun failure.NotRun) http.HandlerFunc {
+func refuse(code failure.Code, notRun failure.NotRun) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		f := failure.Ran(code, notRun, nil, "told to")
 		w.WriteHeader(f.HTTPStatus())
@@ -42,28 +43,29 @@
 	}
 }
 
-// A caller names two instances. One may be gone, lose an answer or refuse. The
-// call goes to the other only where that cannot run it twice, and a refusal by
-// the second never hides that the first may have run it.
+// The client has two instances. The first may be down, drop the connection before its
+// response, or refuse. Guards against sending the call to the second where that could
+// run it twice, and against reporting the second's refusal although the first may have
+// run the call.
 func TestSend(t *testing.T) {
-	notReady := refuses(failure.NotReady, failure.NotRunTrue)
+	notReady := refuse(failure.NotReady, failure.NotRunTrue)
 	tests := map[string]struct {
 		first, second []http.HandlerFunc
-		firstGone     bool
-		repeatable    bool
+		firstDown     bool
+		idempotent    bool
 		want          failure.Code
 		notRun        failure.NotRun
 		calls         [2]int64
 	}{
-		"answered":                        {first: []http.HandlerFunc{answers}, second: []http.HandlerFunc{answers}, calls: [2]int64{1, 0}},
-		"first is gone":                   {firstGone: true, second: []http.HandlerFunc{answers}, calls: [2]int64{0, 1}},
-		"refused, not run":                {first: []http.HandlerFunc{notReady}, second: []http.HandlerFunc{answers}, calls: [2]int64{1, 1}},
-		"lost answer, no key":             {first: []http.HandlerFunc{loses}, second: []http.HandlerFunc{answers}, want: failure.OutcomeUnknown, notRun: failure.NotRunUnknown, calls: [2]int64{1, 0}},
-		"lost answer, key":                {first: []http.HandlerFunc{loses}, second: []http.HandlerFunc{answers}, repeatable: true, calls: [2]int64{1, 1}},
-		"lost answer, then first answers": {first: []http.HandlerFunc{loses, answers}, second: []http.HandlerFunc{notReady}, repeatable: true, calls: [2]int64{2, 1}},
-		"lost answer, then not ready":     {first: []http.HandlerFunc{loses, notReady}, second: []http.HandlerFunc{notReady}, repeatable: true, want: failure.OutcomeUnknown, notRun: failure.NotRunUnknown},
-		"conflict is final":               {first: []http.HandlerFunc{refuses(failure.Conflict, failure.NotRunTrue)}, second: []http.HandlerFunc{answers}, repeatable: true, want: failure.Conflict, notRun: failure.NotRunTrue, calls: [2]int64{1, 0}},
-		"overload is told to the caller":  {first: []http.HandlerFunc{refuses(failure.Overloaded, failure.NotRunTrue)}, second: []http.HandlerFunc{answers}, want: failure.Overloaded, notRun: failure.NotRunTrue, calls: [2]int64{1, 0}},
+		"answered":                        {first: []http.HandlerFunc{respond}, second: []http.HandlerFunc{respond}, calls: [2]int64{1, 0}},
+		"first is gone":                   {firstDown: true, second: []http.HandlerFunc{respond}, calls: [2]int64{0, 1}},
+		"refused, not run":                {first: []http.HandlerFunc{notReady}, second: []http.HandlerFunc{respond}, calls: [2]int64{1, 1}},
+		"lost answer, no key":             {first: []http.HandlerFunc{dropConnection}, second: []http.HandlerFunc{respond}, want: failure.OutcomeUnknown, notRun: failure.NotRunUnknown, calls: [2]int64{1, 0}},
+		"lost answer, key":                {first: []http.HandlerFunc{dropConnection}, second: []http.HandlerFunc{respond}, idempotent: true, calls: [2]int64{1, 1}},
+		"lost answer, then first answers": {first: []http.HandlerFunc{dropConnection, respond}, second: []http.HandlerFunc{notReady}, idempotent: true, calls: [2]int64{2, 1}},
+		"lost answer, then not ready":     {first: []http.HandlerFunc{dropConnection, notReady}, second: []http.HandlerFunc{notReady}, idempotent: true, want: failure.OutcomeUnknown, notRun: failure.NotRunUnknown},
+		"conflict is final":               {first: []http.HandlerFunc{refuse(failure.Conflict, failure.NotRunTrue)}, second: []http.HandlerFunc{respond}, idempotent: true, want: failure.Conflict, notRun: failure.NotRunTrue, calls: [2]int64{1, 0}},
+		"overload is reported":            {first: []http.HandlerFunc{refuse(failure.Overloaded, failure.NotRunTrue)}, second: []http.HandlerFunc{respond}, want: failure.Overloaded, notRun: failure.NotRunTrue, calls: [2]int64{1, 0}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -72,12 +74,12 @@
 			one, two := httptest.NewServer(first), httptest.NewServer(second)
 			defer two.Close()
 			defer one.Close()
-			if test.firstGone {
+			if test.firstDown {
 				one.Close()
 			}
 			c, err := newClient(strings.Join([]string{one.URL, two.URL}, ","), "", "", 300*time.Millisecond)
 			is.NoErr(err)
-			text, err := c.send(context.Background(), &exchange{method: http.MethodPost, path: "/x", repeatable: test.repeatable})
+			text, err := c.send(context.Background(), &apiCall{method: http.MethodPost, path: "/x", idempotent: test.idempotent})
 			if test.want == "" {
 				is.NoErr(err)
 				is.Equal(string(text), "done")
@@ -92,11 +94,11 @@
 	}
 }
 
-// The same name with other files is another apply: it must not get the outcome
-// of the first.
+// Guards against an apply that gets the outcome of an earlier one with the same name but
+// other files.
 func TestClientName(t *testing.T) {
 	is := is.New(t)
-	a, b := parsed(t, "[customer a]\n"), parsed(t, "[customer b]\n")
+	a, b := parseItems(t, "[customer a]\n"), parseItems(t, "[customer b]\n")
 	is.Equal(clientName(a, "night"), clientName(a, "night"))
 	is.True(clientName(a, "night") != clientName(b, "night"))
 	is.True(clientName(a, "night") != clientName(a, "day"))
@@ -104,7 +106,7 @@
 	is.True(unnamed != clientName(a, ""))
 }
 
-func parsed(t *testing.T, text string) []*controlpb.Item {
+func parseItems(t *testing.T, text string) []*controlpb.Item {
 	items, err := declaration.Parse("f", []byte(text))
 	is.New(t).NoErr(err)
 	return items
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the pinewinch tool: one file a subcommand.
+// Package command implements the pinewinch tool, with related subcommands in a file each.
 package command
 
 import (
@@ -21,21 +21,21 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// defaultPatience outlasts the election of a new leader.
-const defaultPatience = 5 * time.Second
+// defaultRetryTimeout is longer than the election of a new leader takes.
+const defaultRetryTimeout = 5 * time.Second
 
-// Tool is what every subcommand shares.
+// Tool holds the flags and the client that all subcommands share.
 type Tool struct {
-	out       io.Writer
-	servers   string
-	token     string
-	authority string
-	format    string
-	patience  time.Duration
-	client    *client
+	out          io.Writer
+	servers      string
+	token        string
+	authority    string
+	format       string
+	retryTimeout time.Duration
+	client       *client
 }
 
-// Run parses the arguments, runs one subcommand and gives the exit code.
+// Run parses the arguments, runs one subcommand and returns the exit code.
 func Run(args []string, out, errors io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -65,7 +65,7 @@
 		fmt.Fprintf(w, "the declarations are at revision %d now\n", f.Revision)
 	}
 	if f.RetryAfter > 0 {
-		fmt.Fprintf(w, "come back in %s\n", f.RetryAfter)
+		fmt.Fprintf(w, "retry after %s\n", f.RetryAfter)
 	}
 	fmt.Fprintf(w, "not run: %s\n", f.NotRun)
 	return f.ExitCode()
@@ -100,18 +100,18 @@
 	}
 }
 
-// flags gives the flag set of a subcommand with the flags that all share.
+// flags returns the flag set of a subcommand with the flags that all share.
 func (t *Tool) flags(name string) *flag.FlagSet {
 	flags := flag.NewFlagSet("pinewinch "+name, flag.ContinueOnError)
 	flags.StringVar(&t.servers, "server", "http://127.0.0.1:7100", "addresses of any instances, separated by commas")
 	flags.StringVar(&t.token, "token", "", "token of the operator or customer")
 	flags.StringVar(&t.authority, "authority", "", "file with the certificates to trust, for https")
 	flags.StringVar(&t.format, "o", formatTable, "table or json")
-	flags.DurationVar(&t.patience, "patience", defaultPatience, "how long to go on trying where that is safe")
+	flags.DurationVar(&t.retryTimeout, "patience", defaultRetryTimeout, "how long to retry where that is safe")
 	return flags
 }
 
-// help is the line for each subcommand in the list of all.
+// help is the short help of each subcommand.
 var help = map[string]string{
 	"apply":    "bring declarations into force",
 	"diff":     "show what an apply would change",
@@ -123,7 +123,7 @@
 	"workflow": "submit, show or cancel a graph of steps",
 	"request":  "send a request to a minion and print its answer",
 	"explain":  "why a job waits",
-	"trace":    "the story of an id, from the logs of all processes",
+	"trace":    "the log lines about an id, from the logs of all processes",
 	"drain":    "give an upstream no new work",
 	"dump":     "what one process knows",
 	"members":  "instances, and who keeps the log",
@@ -154,20 +154,20 @@
 	}
 }
 
-// get reads a path and decodes the answer.
+// get reads a path and decodes the response.
 func (t *Tool) get(ctx context.Context, path string, into any) error {
-	return t.call(ctx, &exchange{method: http.MethodGet, path: path, repeatable: true}, nil, into)
+	return t.call(ctx, &apiCall{method: http.MethodGet, path: path, idempotent: true}, nil, into)
 }
 
-// call sends one message and decodes its answer; body and into may be nil.
-func (t *Tool) call(ctx context.Context, e *exchange, body, into any) error {
+// call makes an API call and decodes the response; body and into may be nil.
+func (t *Tool) call(ctx context.Context, call *apiCall, body, into any) error {
 	if body != nil {
 		var err error
-		if e.body, err = json.Marshal(body); err != nil {
+		if call.body, err = json.Marshal(body); err != nil {
 			return failure.Wrap(failure.Internal, err, "encode")
 		}
 	}
-	text, err := t.send(ctx, e)
+	text, err := t.send(ctx, call)
 	if err != nil {
 		return err
 	}
@@ -175,24 +175,24 @@
 		return nil
 	}
 	if err := json.Unmarshal(text, into); err != nil {
-		return failure.Ran(failure.WrongAnswer, failure.NotRunUnknown, err, "answer of %s", e.path)
+		return failure.Ran(failure.WrongAnswer, failure.NotRunUnknown, err, "answer of %s", call.path)
 	}
 	return nil
 }
 
-func (t *Tool) send(ctx context.Context, e *exchange) ([]byte, error) {
+func (t *Tool) send(ctx context.Context, call *apiCall) ([]byte, error) {
 	if t.client == nil {
-		c, err := newClient(t.servers, t.token, t.authority, t.patience)
+		c, err := newClient(t.servers, t.token, t.authority, t.retryTimeout)
 		if err != nil {
 			return nil, err
 		}
 		t.client = c
 	}
-	return t.client.send(ctx, e)
+	return t.client.send(ctx, call)
 }
 
-// one gives the single argument of a subcommand.
-func one(args []string, what string) (string, error) {
+// singleArgument returns the only argument of a subcommand.
+func singleArgument(args []string, what string) (string, error) {
 	if len(args) != 1 {
 		return "", failure.New(failure.BadRequest, "give one %s", what)
 	}
--- a/internal/command/operate.go
+++ b/internal/command/operate.go
@@ -18,7 +18,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// getJobs is the argument of get that lists jobs instead of declarations.
+// getJobs is the argument with which get lists jobs instead of declarations.
 const getJobs = "jobs"
 
 func (t *Tool) getCommand() *ffcli.Command {
@@ -75,7 +75,7 @@
 	return t.print(items, []string{"key", "declaration"}, rows)
 }
 
-// marshal gives the same JSON each time: protobuf's own adds spaces at random.
+// marshal returns the same JSON each time: protojson adds spaces at random.
 func marshal(message proto.Message) ([]byte, error) {
 	text, err := protojson.Marshal(message)
 	if err != nil {
@@ -95,7 +95,7 @@
 	flags.StringVar(&change.Remove, "remove", "", "instance, or identity of a replica, that leaves the voters")
 	return t.command("members", "", flags, func(ctx context.Context, _ []string) error {
 		if change != (api.ChangeMembers{}) {
-			call := &exchange{method: http.MethodPost, path: api.PathMembers, repeatable: true}
+			call := &apiCall{method: http.MethodPost, path: api.PathMembers, idempotent: true}
 			if err := t.call(ctx, call, &change, nil); err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 	return t.print(members, []string{"instance", "data centre", "revision", "ready", "replica", "log"}, rows)
 }
 
-// drained is the outcome of drain as JSON.
+// drained is the JSON output of drain.
 type drained struct {
 	Upstream string `json:"upstream"`
 	Drained  bool   `json:"drained"`
@@ -129,11 +129,11 @@
 	flags := t.flags("drain")
 	undo := flags.Bool("undo", false, "let the upstream receive work again")
 	return t.command("drain", "UPSTREAM", flags, func(ctx context.Context, args []string) error {
-		id, err := one(args, "upstream")
+		id, err := singleArgument(args, "upstream")
 		if err != nil {
 			return err
 		}
-		call := &exchange{method: http.MethodPost, path: withID(api.PathDrain, id), repeatable: true}
+		call := &apiCall{method: http.MethodPost, path: withID(api.PathDrain, id), idempotent: true}
 		if *undo {
 			call.method = http.MethodDelete
 		}
@@ -145,7 +145,7 @@
 	})
 }
 
-// dump has one form: JSON.
+// dumpCommand prints JSON whatever the output format.
 func (t *Tool) dumpCommand() *ffcli.Command {
 	flags := t.flags("dump")
 	vars := flags.Bool("vars", false, "the counters instead of the state")
@@ -154,7 +154,7 @@
 		if *vars {
 			path = api.PathVars
 		}
-		text, err := t.send(ctx, &exchange{method: http.MethodGet, path: path, repeatable: true})
+		text, err := t.send(ctx, &apiCall{method: http.MethodGet, path: path, idempotent: true})
 		if err != nil {
 			return err
 		}
--- a/internal/command/output.go
+++ b/internal/command/output.go
@@ -8,13 +8,13 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// The values of -o.
+// Values of the flag -o.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 )
 
-// print shows a value as JSON, or rows as a table for people.
+// print writes value as JSON or rows as a table, depending on the output format.
 func (t *Tool) print(value any, header []string, rows [][]string) error {
 	if t.format == formatJSON {
 		return t.printJSON(value)
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -86,10 +86,10 @@
 	})
 }
 
-// watch prints a line for each newer state. The instance holds its answer until
-// there is one.
+// watch prints a line for each newer state by long polling: the instance holds its
+// response until there is one.
 func (t *Tool) watch(ctx context.Context, untilDone bool, every time.Duration) error {
-	path, shown := api.PathStatus, ""
+	path, lastLine := api.PathStatus, ""
 	for {
 		status := api.Status{}
 		if err := t.get(ctx, path, &status); err != nil {
@@ -98,28 +98,28 @@
 			}
 			return err
 		}
-		if err := t.printProgress(&status, &shown); err != nil {
+		if err := t.printProgress(&status, &lastLine); err != nil {
 			return err
 		}
 		if untilDone && unfinished(&status) == 0 {
 			return nil
 		}
 		path = fmt.Sprintf("%s?after=%d", api.PathStatus, status.Index)
-		if pause(ctx, every) != nil {
+		if sleep(ctx, every) != nil {
 			return nil
 		}
 	}
 }
 
-func (t *Tool) printProgress(status *api.Status, shown *string) error {
+func (t *Tool) printProgress(status *api.Status, lastLine *string) error {
 	if t.format == formatJSON {
 		return t.printJSON(status)
 	}
 	line := progress(status)
-	if line == *shown {
+	if line == *lastLine {
 		return nil
 	}
-	*shown = line
+	*lastLine = line
 	_, err := fmt.Fprintln(t.out, line)
 	return wrapOutput(err)
 }
--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -13,29 +13,29 @@
 	"pinewinch.example/pinewinch/internal/protocol/logstory"
 )
 
-// clockFormat of a line in a story: the day is the reader's to know.
+// clockFormat is the time format of the printed lines. It omits the date.
 const clockFormat = "15:04:05.000"
 
-// traceCommand tells the story of one id from the collected logs of many processes.
-// It speaks to no instance.
+// traceCommand prints the log lines about one id from the collected logs of many
+// processes. It calls no instance.
 func (t *Tool) traceCommand() *ffcli.Command {
 	flags := t.flags("trace")
 	return t.command("trace", "ID LOGFILE...", flags, func(_ context.Context, args []string) error {
 		if len(args) < 2 {
-			return failure.New(failure.BadRequest, "give an id and the files of logs")
+			return failure.New(failure.BadRequest, "give an id and one or more log files")
 		}
 		lines, err := readLogs(args[1:])
 		if err != nil {
 			return err
 		}
-		story := logstory.Story(lines, args[0])
-		if len(story) == 0 {
-			return failure.New(failure.NotFound, "no line of %d names %s", len(lines), args[0])
+		trace := logstory.Story(lines, args[0])
+		if len(trace) == 0 {
+			return failure.New(failure.NotFound, "none of %d log lines names %s", len(lines), args[0])
 		}
 		if t.format == formatJSON {
-			return t.printJSON(story)
+			return t.printJSON(trace)
 		}
-		return t.printStory(story)
+		return t.printTrace(trace)
 	})
 }
 
@@ -51,7 +51,7 @@
 	return all, nil
 }
 
-// readLog reads one file; its name without the ending names the process.
+// readLog reads one file; its name without the extension is the name of the process.
 func readLog(path string) ([]logstory.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -63,9 +63,9 @@
 	return lines, err
 }
 
-// printStory marks what only surrounds the id with a "~".
-func (t *Tool) printStory(story []logstory.Line) error {
-	for _, line := range story {
+// printTrace marks the lines that do not name the id, but are context, with a "~".
+func (t *Tool) printTrace(trace []logstory.Line) error {
+	for _, line := range trace {
 		mark := " "
 		if line.Around {
 			mark = "~"
--- a/internal/command/work.go
+++ b/internal/command/work.go
@@ -15,8 +15,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// jobPause is the time between two looks at jobs that are waited for.
-const jobPause = 200 * time.Millisecond
+// jobPollInterval is the interval at which jobs are polled until they end.
+const jobPollInterval = 200 * time.Millisecond
 
 func (t *Tool) submitCommand() *ffcli.Command {
 	flags := t.flags("submit")
@@ -41,21 +41,21 @@
 	})
 }
 
-// submit makes a key where none was given, so that a resend after a lost answer
-// finds the same job.
+// submit generates a key if none was given, so that a resend after a lost response
+// returns the same job.
 func (t *Tool) submit(ctx context.Context, class, key string) (*api.Job, error) {
 	if key == "" {
 		key = ulid.Make().String()
 	}
 	job := &api.Job{}
-	call := &exchange{method: http.MethodPost, path: api.PathJobs, repeatable: true}
+	call := &apiCall{method: http.MethodPost, path: api.PathJobs, idempotent: true}
 	return job, t.call(ctx, call, &api.SubmitRequest{Key: key, WorkClass: class}, job)
 }
 
 func (t *Tool) awaitJobs(ctx context.Context, jobs []api.Job) error {
 	for i := range jobs {
 		for !jobs[i].Ended() {
-			if err := pause(ctx, jobPause); err != nil {
+			if err := sleep(ctx, jobPollInterval); err != nil {
 				return err
 			}
 			if err := t.get(ctx, withID(api.PathJob, jobs[i].ID), &jobs[i]); err != nil {
@@ -74,7 +74,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return failure.Wrap(failure.OutcomeUnknown, ctx.Err(), "stopped waiting")
@@ -91,7 +91,7 @@
 		jobs := []api.Job{}
 		for _, id := range ids {
 			job := api.Job{}
-			call := &exchange{method: http.MethodDelete, path: withID(api.PathJob, id), repeatable: true}
+			call := &apiCall{method: http.MethodDelete, path: withID(api.PathJob, id), idempotent: true}
 			if err := t.call(ctx, call, nil, &job); err != nil {
 				return err
 			}
@@ -113,7 +113,7 @@
 
 func (t *Tool) explainCommand() *ffcli.Command {
 	return t.command("explain", "JOB", t.flags("explain"), func(ctx context.Context, args []string) error {
-		id, err := one(args, "job")
+		id, err := singleArgument(args, "job")
 		if err != nil {
 			return err
 		}
@@ -129,7 +129,7 @@
 	})
 }
 
-// requestOutcome is an answer as JSON.
+// requestOutcome is the JSON output of request.
 type requestOutcome struct {
 	Body string `json:"body"`
 }
@@ -139,16 +139,17 @@
 	key := flags.String("key", "", "the same key again gets the same outcome")
 	file := flags.String("file", "", "file with the body")
 	return t.command("request", "SERVICE", flags, func(ctx context.Context, args []string) error {
-		service, err := one(args, "service")
+		service, err := singleArgument(args, "service")
 		if err != nil {
 			return err
 		}
-		call := &exchange{
+		call := &apiCall{
 			method: http.MethodPost,
 			path:   strings.Replace(api.PathRequests, "{service}", service, 1),
 			header: http.Header{},
-			// Without a key a lost answer is reported: the work may have run.
-			repeatable: *key != "",
+			// Without a key a lost response is reported and not retried: the request
+			// may have run.
+			idempotent: *key != "",
 		}
 		if *file != "" {
 			if call.body, err = os.ReadFile(*file); err != nil {
--- a/internal/command/workflow.go
+++ b/internal/command/workflow.go
@@ -14,7 +14,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// workflowCommand submits a graph of steps, or shows or cancels one.
+// workflowCommand submits a graph of steps, or shows or cancels a submitted one.
 func (t *Tool) workflowCommand() *ffcli.Command {
 	flags := t.flags("workflow")
 	key := flags.String("key", "", "the same key again gets the same workflow")
@@ -22,14 +22,14 @@
 	cancel := flags.Bool("cancel", false, "cancel the workflow of that id")
 	show := flags.Bool("show", false, "show the workflow of that id and its jobs")
 	return t.command("workflow", "FILE.json | -show ID | -cancel ID", flags, func(ctx context.Context, args []string) error {
-		argument, err := one(args, "file or id")
+		argument, err := singleArgument(args, "file or id")
 		if err != nil {
 			return err
 		}
 		workflow := &api.Workflow{}
 		switch {
 		case *cancel:
-			call := &exchange{method: http.MethodDelete, path: withID(api.PathWorkflow, argument), repeatable: true}
+			call := &apiCall{method: http.MethodDelete, path: withID(api.PathWorkflow, argument), idempotent: true}
 			err = t.call(ctx, call, nil, workflow)
 		case *show:
 			err = t.get(ctx, withID(api.PathWorkflow, argument), workflow)
@@ -46,8 +46,8 @@
 	})
 }
 
-// submitWorkflow makes a key where none was given, so that a resend after a lost
-// answer finds the same workflow.
+// submitWorkflow generates a key if none was given, so that a resend after a lost
+// response returns the same workflow.
 func (t *Tool) submitWorkflow(ctx context.Context, file, key string, into *api.Workflow) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 	request := &api.WorkflowRequest{}
 	if err := json.Unmarshal(text, request); err != nil {
-		return failure.Wrap(failure.BadRequest, err, "%s is no workflow", file)
+		return failure.Wrap(failure.BadRequest, err, "%s is not a valid workflow", file)
 	}
 	if key != "" {
 		request.Key = key
@@ -63,12 +63,12 @@
 	if request.Key == "" {
 		request.Key = ulid.Make().String()
 	}
-	return t.call(ctx, &exchange{method: http.MethodPost, path: api.PathWorkflows, repeatable: true}, request, into)
+	return t.call(ctx, &apiCall{method: http.MethodPost, path: api.PathWorkflows, idempotent: true}, request, into)
 }
 
 func (t *Tool) awaitWorkflow(ctx context.Context, workflow *api.Workflow) error {
 	for !workflow.Ended() {
-		if err := pause(ctx, jobPause); err != nil {
+		if err := sleep(ctx, jobPollInterval); err != nil {
 			return err
 		}
 		if err := t.get(ctx, withID(api.PathWorkflow, workflow.ID), workflow); err != nil {
