--- a/cmd/pinewinch-bench/main.go
+++ b/cmd/pinewinch-bench/main.go
@@ -1,4 +1,4 @@
-// Command pinewinch-bench runs the project's experiments: replays of the
+// Command pinewinch-bench runs the project's experiments: replays of the system's
 // decisions, and the measurements behind docs/CAPACITY.md.
 package main
 
--- a/cmd/pinewinch-standin/main.go
+++ b/cmd/pinewinch-standin/main.go
@@ -1,5 +1,5 @@
-// Command pinewinch-standin runs small stand-ins for workers and minions, for
-// the quick start and the scenarios.
+// Command pinewinch-standin runs simulated workers and minions for the quick start
+// and the scenarios.
 package main
 
 import (
--- a/cmd/pinewinch/main.go
+++ b/cmd/pinewinch/main.go
@@ -1,4 +1,4 @@
-// Command pinewinch is the operators' and callers' tool.
+// Command pinewinch is the command-line tool for operators and callers.
 package main
 
 import (
