--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -13,7 +13,8 @@
 	"pinewinch.example/pinewinch/internal/protocol/logstory"
 )
 
-// clockFormat is the time format of the printed lines. It omits the date.
+// clockFormat is the time format of the printed lines. It omits the date, which the
+// reader knows.
 const clockFormat = "15:04:05.000"
 
 // traceCommand prints the log lines about one id from the collected logs of many
