--- a/scripts/check.sh
+++ b/scripts/check.sh
@@ -27,7 +27,7 @@
     name=$(echo "${name%%/*}" | tr -d '[:space:]')
     [ -z "$name" ] || grep -rqE "^func $name\(" --include='*_test.go' . || fail "KNOWN-RED.txt lists $name, which does not exist"
   done < KNOWN-RED.txt
-  echo "known failures, not run:"
+  echo "known red, not run:"
   cat KNOWN-RED.txt
   skip=$(skip_pattern KNOWN-RED.txt)
 fi
