--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -190,7 +190,7 @@
 			break
 		}
 		err := c.processReady(ctx, ready)
-		if disk.MayTryAgain(err) {
+		if disk.Retryable(err) {
 			c.deferReady(ready, err)
 			return nil
 		}
--- a/internal/coordination/replica/fulldisk.go
+++ b/internal/coordination/replica/fulldisk.go
@@ -35,7 +35,7 @@
 func (r *Replica) openWhenWritable(ctx context.Context) (*storage, *recovery, error) {
 	for logged := false; ; logged = true {
 		storage, recovered, err := openStorage(&r.config)
-		if !disk.MayTryAgain(err) {
+		if !disk.Retryable(err) {
 			return storage, recovered, err
 		}
 		if !logged {
@@ -70,7 +70,7 @@
 	if c.deferred != nil {
 		ready := *c.deferred
 		err := c.finishReady(ctx, ready)
-		if disk.MayTryAgain(err) {
+		if disk.Retryable(err) {
 			return nil
 		}
 		if err != nil {
--- a/internal/coordination/replica/mesh_test.go
+++ b/internal/coordination/replica/mesh_test.go
@@ -170,7 +170,7 @@
 }
 
 // setFreeSpace sets how many more bytes fit on a replica's disk; negative: no limit.
-func (m *mesh) setFreeSpace(r *Replica, bytes int) { m.disks[r.config.Instance].SetRoom(bytes) }
+func (m *mesh) setFreeSpace(r *Replica, bytes int) { m.disks[r.config.Instance].SetFreeBytes(bytes) }
 
 // reachable returns a replica unless it is partitioned from the sender.
 func (m *mesh) reachable(from, to string) (*Replica, error) {
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -156,13 +156,13 @@
 		m.entries = 5
 		leader := startAll(m)
 		disk := m.disks[leader.config.Instance]
-		disk.SetOpens(0)
+		disk.SetFreeDescriptors(0)
 		for n := range 12 {
 			propose(is, leader, fmt.Sprint("without ", n))
 		}
 		is.True(leader.IsLeader())
 		before := leader.disk.newestSnapshot()
-		disk.SetOpens(-1)
+		disk.SetFreeDescriptors(-1)
 		time.Sleep(2 * time.Second)
 		is.True(leader.disk.newestSnapshot() > before)
 	})
@@ -194,7 +194,7 @@
 func TestStartOnAFullDiskWaitsForRoom(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.disks["i3"] = disktest.New()
-		m.disks["i3"].Room = 0
+		m.disks["i3"].FreeBytes = 0
 		late := m.start("i3")
 		m.start("i1")
 		m.start("i2")
--- a/internal/coordination/replica/snapshots.go
+++ b/internal/coordination/replica/snapshots.go
@@ -83,7 +83,7 @@
 	if err == nil {
 		err = c.disk.log.Compact(c.disk.snapshots.Oldest())
 	}
-	if disk.MayTryAgain(err) {
+	if disk.Retryable(err) {
 		c.postponeSnapshot(err)
 		return
 	}
@@ -163,7 +163,7 @@
 	defer cancel()
 	request := &peerpb.FetchSnapshot{Index: id.Index, Term: id.Term, Offset: offset}
 	reply, err := r.peers.Call(ctx, from, &peerpb.Call{Body: &peerpb.Call_FetchSnapshot{FetchSnapshot: request}})
-	if failure.Is(err, failure.DiskFailed) || disk.MayTryAgain(err) {
+	if failure.Is(err, failure.DiskFailed) || disk.Retryable(err) {
 		// The disk of the source failed, not this replica's, whose failure would end the
 		// process.
 		return nil, failure.Wrap(failure.Unreachable, err, "%s cannot read its snapshot", from)
@@ -219,7 +219,7 @@
 		return
 	}
 	err = c.disk.log.Mark(s.Meta)
-	if disk.MayTryAgain(err) {
+	if disk.Retryable(err) {
 		return
 	}
 	if err != nil {
--- a/internal/coordination/replica/storage.go
+++ b/internal/coordination/replica/storage.go
@@ -46,7 +46,7 @@
 func openStorage(config *Config) (*storage, *recovery, error) {
 	s := &storage{files: config.Files, folder: config.DataFolder}
 	if _, real := config.Files.(disk.OS); real {
-		lock, err := disk.TakeLock(config.DataFolder)
+		lock, err := disk.AcquireLock(config.DataFolder)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -92,12 +92,12 @@
 // missing, it is damaged rather than new.
 func (s *storage) used() (bool, error) {
 	for _, folder := range []string{logFolder, snapshotFolder} {
-		if err := s.files.MakeFolder(s.path(folder)); err != nil {
-			return false, disk.Fault(err, "make %s", s.path(folder))
+		if err := s.files.MkdirAll(s.path(folder)); err != nil {
+			return false, disk.WrapError(err, "make %s", s.path(folder))
 		}
 		names, err := s.files.Names(s.path(folder))
 		if err != nil {
-			return false, disk.Fault(err, "list %s", s.path(folder))
+			return false, disk.WrapError(err, "list %s", s.path(folder))
 		}
 		if len(names) > 0 {
 			return true, nil
--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -25,8 +25,8 @@
 
 // FS is the file access that the state packages need.
 type FS interface {
-	// MakeFolder creates a directory and its parents.
-	MakeFolder(path string) error
+	// MkdirAll creates a directory and its parents.
+	MkdirAll(path string) error
 	// Create creates an empty file, replacing an existing one.
 	Create(path string) (File, error)
 	// Open opens an existing file.
@@ -52,8 +52,8 @@
 // OS is the file system of the operating system.
 type OS struct{}
 
-// MakeFolder creates a directory and its parents.
-func (OS) MakeFolder(path string) error { return os.MkdirAll(path, dirMode) }
+// MkdirAll creates a directory and its parents.
+func (OS) MkdirAll(path string) error { return os.MkdirAll(path, dirMode) }
 
 // Create creates an empty file, replacing an existing one.
 func (OS) Create(path string) (File, error) {
@@ -119,12 +119,12 @@
 		return nil, false, nil
 	}
 	if err != nil {
-		return nil, false, Fault(err, "open %s", path)
+		return nil, false, WrapError(err, "open %s", path)
 	}
 	defer file.Close()
 	content, err = ReadAll(file)
 	if err != nil {
-		return nil, false, Fault(err, "read %s", path)
+		return nil, false, WrapError(err, "read %s", path)
 	}
 	return content, true, nil
 }
@@ -143,9 +143,9 @@
 	return content[:n], nil
 }
 
-// Fault wraps an error of a file operation: as DiskFull if there was no free space or
+// WrapError wraps an error of a file operation: as DiskFull if there was no free space or
 // quota, as OutOfDescriptors if no file descriptor was available, as DiskFailed otherwise.
-func Fault(err error, format string, args ...any) *failure.Error {
+func WrapError(err error, format string, args ...any) *failure.Error {
 	switch {
 	case errors.Is(err, syscall.ENOSPC), errors.Is(err, syscall.EDQUOT):
 		return failure.Wrap(failure.DiskFull, err, format, args...)
@@ -155,9 +155,9 @@
 	return failure.Wrap(failure.DiskFailed, err, format, args...)
 }
 
-// MayTryAgain reports whether the error is a lack of free space or of file descriptors: the
+// Retryable reports whether the error is a lack of free space or of file descriptors: the
 // disk has not failed, and the same operation may succeed later.
-func MayTryAgain(err error) bool {
+func Retryable(err error) bool {
 	return failure.Is(err, failure.DiskFull) || failure.Is(err, failure.OutOfDescriptors)
 }
 
@@ -166,7 +166,7 @@
 // exists.
 func Replace(files FS, path string, parts ...[]byte) error {
 	if err := replace(files, path, parts); err != nil {
-		return Fault(err, "write %s", path)
+		return WrapError(err, "write %s", path)
 	}
 	return nil
 }
@@ -200,14 +200,14 @@
 func RemoveTemp(files FS, dir string) error {
 	names, err := files.Names(dir)
 	if err != nil {
-		return Fault(err, "list %s", dir)
+		return WrapError(err, "list %s", dir)
 	}
 	for _, name := range names {
 		if !strings.HasSuffix(name, tempSuffix) {
 			continue
 		}
 		if err := files.Remove(filepath.Join(dir, name)); err != nil {
-			return Fault(err, "remove %s", name)
+			return WrapError(err, "remove %s", name)
 		}
 	}
 	return nil
--- a/internal/state/disk/disk_test.go
+++ b/internal/state/disk/disk_test.go
@@ -39,12 +39,12 @@
 func TestLockExcludesSecondProcess(t *testing.T) {
 	is := is.New(t)
 	dir := t.TempDir()
-	lock, err := disk.TakeLock(dir)
+	lock, err := disk.AcquireLock(dir)
 	is.NoErr(err)
-	_, err = disk.TakeLock(dir)
+	_, err = disk.AcquireLock(dir)
 	is.True(failure.Is(err, failure.FolderInUse))
 	is.NoErr(lock.Release())
-	_, err = disk.TakeLock(dir)
+	_, err = disk.AcquireLock(dir)
 	is.NoErr(err)
 }
 
--- a/internal/state/disk/disktest/disktest.go
+++ b/internal/state/disk/disktest/disktest.go
@@ -16,8 +16,8 @@
 // FS is the file system. Its exported fields inject faults and count operations. They may
 // be accessed only while no other goroutine uses the file system.
 type FS struct {
-	// Room is the free space in bytes; negative means no limit.
-	Room int
+	// FreeBytes is the free space in bytes; negative means no limit.
+	FreeBytes int
 	// FreeDescriptors is how many more files and directories can be opened before opening
 	// fails with EMFILE; negative means no limit.
 	FreeDescriptors int
@@ -40,7 +40,7 @@
 
 // New returns an empty file system without limits.
 func New() *FS {
-	return &FS{Room: -1, FreeDescriptors: -1, names: map[string]*content{}, synced: map[string]*content{}}
+	return &FS{FreeBytes: -1, FreeDescriptors: -1, names: map[string]*content{}, synced: map[string]*content{}}
 }
 
 // Crash returns the file system after a power loss: the synced names with their synced
@@ -61,18 +61,18 @@
 	return after
 }
 
-// SetRoom sets Room while other goroutines use the file system.
-func (f *FS) SetRoom(room int) {
+// SetFreeBytes sets FreeBytes while other goroutines use the file system.
+func (f *FS) SetFreeBytes(free int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Room = room
+	f.FreeBytes = free
 }
 
-// SetOpens sets Opens while other goroutines use the file system.
-func (f *FS) SetOpens(opens int) {
+// SetFreeDescriptors sets FreeDescriptors while other goroutines use the file system.
+func (f *FS) SetFreeDescriptors(free int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.FreeDescriptors = opens
+	f.FreeDescriptors = free
 }
 
 // takeDescriptor uses up one descriptor; the caller holds the lock.
@@ -98,8 +98,8 @@
 	return f.names[path].data
 }
 
-// MakeFolder does nothing: every directory exists.
-func (f *FS) MakeFolder(string) error { return nil }
+// MkdirAll does nothing: every directory exists.
+func (f *FS) MkdirAll(string) error { return nil }
 
 // Create creates an empty file, replacing an existing one.
 func (f *FS) Create(path string) (disk.File, error) {
@@ -194,9 +194,9 @@
 	defer f.fs.mu.Unlock()
 	f.fs.WriteCount++
 	n := len(p)
-	if f.fs.Room >= 0 {
-		n = min(n, f.fs.Room)
-		f.fs.Room -= n
+	if f.fs.FreeBytes >= 0 {
+		n = min(n, f.fs.FreeBytes)
+		f.fs.FreeBytes -= n
 	}
 	f.content.data = append(f.content.data, p[:n]...)
 	if n < len(p) {
--- a/internal/state/disk/lock.go
+++ b/internal/state/disk/lock.go
@@ -14,16 +14,16 @@
 // the process ends in any way, so a killed process leaves nothing to clean up.
 type Lock struct{ file *os.File }
 
-// TakeLock locks a data directory, or fails immediately with FolderInUse if another process
+// AcquireLock locks a data directory, or fails immediately with FolderInUse if another process
 // holds the lock: two processes appending to one log would each overwrite entries that the
 // other had acknowledged.
-func TakeLock(dir string) (*Lock, error) {
+func AcquireLock(dir string) (*Lock, error) {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
-		return nil, Fault(err, "create %s", dir)
+		return nil, WrapError(err, "create %s", dir)
 	}
 	file, err := os.OpenFile(filepath.Join(dir, lockFile), os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
-		return nil, Fault(err, "open the lock file of %s", dir)
+		return nil, WrapError(err, "open the lock file of %s", dir)
 	}
 	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		file.Close()
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -29,15 +29,15 @@
 
 // Open lists the snapshots in a directory and creates the directory if it doesn't exist.
 func Open(files disk.FS, path string) (*Folder, error) {
-	if err := files.MakeFolder(path); err != nil {
-		return nil, disk.Fault(err, "create %s", path)
+	if err := files.MkdirAll(path); err != nil {
+		return nil, disk.WrapError(err, "create %s", path)
 	}
 	if err := disk.RemoveTemp(files, path); err != nil {
 		return nil, err
 	}
 	names, err := files.Names(path)
 	if err != nil {
-		return nil, disk.Fault(err, "list %s", path)
+		return nil, disk.WrapError(err, "list %s", path)
 	}
 	f := &Folder{files: files, path: path}
 	for _, name := range names {
@@ -108,7 +108,7 @@
 func (f *Folder) prune() error {
 	for len(f.ids) > retained {
 		if err := f.files.Remove(f.file(f.ids[0], fileSuffix)); err != nil {
-			return disk.Fault(err, "remove an old snapshot")
+			return disk.WrapError(err, "remove an old snapshot")
 		}
 		f.ids = f.ids[1:]
 	}
@@ -168,7 +168,7 @@
 		return err
 	}
 	if err := f.files.Rename(f.file(id, fileSuffix), f.file(id, damagedSuffix)); err != nil {
-		return disk.Fault(err, "rename a corrupted snapshot")
+		return disk.WrapError(err, "rename a corrupted snapshot")
 	}
 	f.ids = rest
 	return nil
--- a/internal/state/snapshot/transfer.go
+++ b/internal/state/snapshot/transfer.go
@@ -28,19 +28,19 @@
 		return nil, failure.New(failure.NotFound, "snapshot %d is no longer kept", id.Index)
 	}
 	if err != nil {
-		return nil, disk.Fault(err, "open %s", path)
+		return nil, disk.WrapError(err, "open %s", path)
 	}
 	defer file.Close()
 	total, err := file.Size()
 	if err != nil {
-		return nil, disk.Fault(err, "size of %s", path)
+		return nil, disk.WrapError(err, "size of %s", path)
 	}
 	if offset < 0 || offset > total {
 		return nil, failure.New(failure.BadRequest, "offset %d of a snapshot of %d bytes", offset, total)
 	}
 	data := make([]byte, min(int64(maxBytes), total-offset))
 	if _, err := file.ReadAt(data, offset); err != nil && !errors.Is(err, io.EOF) {
-		return nil, disk.Fault(err, "read %s", path)
+		return nil, disk.WrapError(err, "read %s", path)
 	}
 	return &Chunk{ID: id, Total: total, Offset: offset, Data: data}, nil
 }
@@ -66,12 +66,12 @@
 		file, err = f.files.Create(path)
 	}
 	if err != nil {
-		return nil, disk.Fault(err, "open %s", path)
+		return nil, disk.WrapError(err, "open %s", path)
 	}
 	offset, err := file.Size()
 	if err != nil {
 		file.Close()
-		return nil, disk.Fault(err, "size of %s", path)
+		return nil, disk.WrapError(err, "size of %s", path)
 	}
 	return &Incoming{folder: f, id: id, file: file, offset: offset}, nil
 }
@@ -94,7 +94,7 @@
 func (f *Folder) removePartials(except ID) error {
 	names, err := f.files.Names(f.path)
 	if err != nil {
-		return disk.Fault(err, "list %s", f.path)
+		return disk.WrapError(err, "list %s", f.path)
 	}
 	for _, name := range names {
 		id, ok := parseName(name, partialSuffix)
@@ -102,7 +102,7 @@
 			continue
 		}
 		if err := f.files.Remove(f.file(id, partialSuffix)); err != nil {
-			return disk.Fault(err, "remove %s", name)
+			return disk.WrapError(err, "remove %s", name)
 		}
 	}
 	return nil
@@ -117,7 +117,7 @@
 		return false, failure.New(failure.WrongAnswer, "chunk of snapshot %d at offset %d, expected snapshot %d at offset %d", c.ID.Index, c.Offset, in.id.Index, in.offset)
 	}
 	if _, err := in.file.Write(c.Data); err != nil {
-		return false, disk.Fault(err, "write a chunk")
+		return false, disk.WrapError(err, "write a chunk")
 	}
 	in.offset += int64(len(c.Data))
 	return in.offset == c.Total, nil
@@ -130,7 +130,7 @@
 	f, path := in.folder, in.folder.file(in.id, partialSuffix)
 	content, err := disk.ReadAll(in.file)
 	if err != nil {
-		return nil, disk.Fault(err, "read %s", path)
+		return nil, disk.WrapError(err, "read %s", path)
 	}
 	s, err := decode(path, content)
 	if err == nil && idOf(s.Meta) != in.id {
@@ -141,7 +141,7 @@
 		return nil, failure.Wrap(failure.WrongAnswer, err, "received snapshot")
 	}
 	if err := in.install(path); err != nil {
-		return nil, disk.Fault(err, "keep %s", path)
+		return nil, disk.WrapError(err, "keep %s", path)
 	}
 	return s, f.add(in.id)
 }
--- a/internal/state/wal/segment.go
+++ b/internal/state/wal/segment.go
@@ -37,7 +37,7 @@
 func listSegments(files disk.FS, dir string) ([]uint64, error) {
 	names, err := files.Names(dir)
 	if err != nil {
-		return nil, disk.Fault(err, "list %s", dir)
+		return nil, disk.WrapError(err, "list %s", dir)
 	}
 	var numbers []uint64
 	for _, name := range names {
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -52,8 +52,8 @@
 		options.SegmentBytes = DefaultSegmentBytes
 	}
 	l := &Log{options: options}
-	if err := options.Files.MakeFolder(options.Folder); err != nil {
-		return nil, nil, disk.Fault(err, "create %s", options.Folder)
+	if err := options.Files.MkdirAll(options.Folder); err != nil {
+		return nil, nil, disk.WrapError(err, "create %s", options.Folder)
 	}
 	if err := disk.RemoveTemp(options.Files, options.Folder); err != nil {
 		return nil, nil, err
@@ -86,7 +86,7 @@
 	s := segment{number: number, path: filepath.Join(l.options.Folder, segmentName(number))}
 	file, err := l.options.Files.Open(s.path)
 	if err != nil {
-		return disk.Fault(err, "open %s", s.path)
+		return disk.WrapError(err, "open %s", s.path)
 	}
 	if isLast {
 		l.active = file
@@ -95,7 +95,7 @@
 	}
 	data, err := disk.ReadAll(file)
 	if err != nil {
-		return disk.Fault(err, "read %s", s.path)
+		return disk.WrapError(err, "read %s", s.path)
 	}
 	apply := func(record *consensuspb.LogRecord) error {
 		s.last = max(s.last, lastIndex(record))
@@ -117,11 +117,11 @@
 func (l *Log) recoverTail(file disk.File, valid, size int64) error {
 	if valid < size {
 		if err := file.Truncate(valid); err != nil {
-			return disk.Fault(err, "truncate the log's tail")
+			return disk.WrapError(err, "truncate the log's tail")
 		}
 	}
 	if err := file.Sync(); err != nil {
-		return disk.Fault(err, "sync the log's tail")
+		return disk.WrapError(err, "sync the log's tail")
 	}
 	l.synced = valid
 	return nil
@@ -183,8 +183,8 @@
 // the record that was written is truncated; none of it was synced, so the next append starts
 // from a clean tail.
 func (l *Log) abortWrite(err error) error {
-	fault := disk.Fault(err, "write the log in %s", l.options.Folder)
-	if !disk.MayTryAgain(fault) {
+	fault := disk.WrapError(err, "write the log in %s", l.options.Folder)
+	if !disk.Retryable(fault) {
 		return l.fail(err)
 	}
 	if err := l.active.Truncate(l.synced); err != nil {
@@ -207,7 +207,7 @@
 // fail disables the log permanently. The bytes that were not synced are truncated, so that
 // a restart doesn't read them from the kernel's page cache as if they were durable.
 func (l *Log) fail(err error) error {
-	l.failed = disk.Fault(err, "write the log in %s", l.options.Folder)
+	l.failed = disk.WrapError(err, "write the log in %s", l.options.Folder)
 	_ = l.active.Truncate(l.synced)
 	return l.failed
 }
@@ -233,7 +233,7 @@
 	}
 	started, err := l.options.Files.Open(path)
 	if err != nil {
-		return disk.Fault(err, "open %s", path)
+		return disk.WrapError(err, "open %s", path)
 	}
 	l.active = started
 	l.synced = int64(len(header))
@@ -258,8 +258,8 @@
 		return nil
 	}
 	if err := l.options.Files.SyncDir(l.options.Folder); err != nil {
-		fault := disk.Fault(err, "sync %s", l.options.Folder)
-		if disk.MayTryAgain(fault) {
+		fault := disk.WrapError(err, "sync %s", l.options.Folder)
+		if disk.Retryable(fault) {
 			return fault
 		}
 		return l.fail(err)
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -156,12 +156,12 @@
 			log, _ := open(t, files, segment)
 			is.NoErr(log.Append(&consensuspb.HardState{Term: 1}, entries(1, 1)))
 			for range 3 {
-				files.Room = 10
+				files.FreeBytes = 10
 				is.True(failure.Is(log.Append(nil, entries(1, 2)), failure.DiskFull))
 				_, contents := open(t, files.Crash(100), segment)
 				is.Equal(len(contents.Entries), 1)
 			}
-			files.Room = -1
+			files.FreeBytes = -1
 			is.NoErr(log.Append(nil, entries(1, 2)))
 			is.NoErr(log.Append(nil, entries(1, 3)))
 			_, contents := open(t, files.Crash(0), segment)
@@ -271,11 +271,11 @@
 				m.snapshot(t, log, last+rapid.Uint64Range(1, 5).Draw(t, "ahead"), term)
 				m.entries = nil
 			case "full":
-				files.Room = rapid.IntRange(0, 60).Draw(t, "room")
+				files.FreeBytes = rapid.IntRange(0, 60).Draw(t, "room")
 				if err := log.Append(nil, entries(term, last+1)); err == nil {
 					m.entries = append(m.entries, entries(term, last+1)...)
 				}
-				files.Room = -1
+				files.FreeBytes = -1
 			case "fault":
 				files.FailSyncs = 1
 				_ = log.Append(nil, entries(term, last+1))
