--- a/internal/coordination/replica/snapshots.go
+++ b/internal/coordination/replica/snapshots.go
@@ -78,7 +78,7 @@
 func (c *core) saved(meta *consensuspb.SnapshotMeta, err error) {
 	c.saving.running = false
 	if err == nil {
-		err = c.disk.log.Mark(meta)
+		err = c.disk.log.MarkSnapshot(meta)
 	}
 	if err == nil {
 		err = c.disk.log.Compact(c.disk.snapshots.Oldest())
@@ -218,7 +218,7 @@
 		c.failure = err
 		return
 	}
-	err = c.disk.log.Mark(s.Meta)
+	err = c.disk.log.MarkSnapshot(s.Meta)
 	if disk.Retryable(err) {
 		return
 	}
--- a/internal/coordination/replica/storage.go
+++ b/internal/coordination/replica/storage.go
@@ -68,7 +68,7 @@
 	if s.identity, err = disk.Identity(s.files, s.folder, instance, used, ulid.Make()); err != nil {
 		return nil, err
 	}
-	log, contents, err := wal.Open(wal.Options{Files: s.files, Folder: s.path(logFolder)})
+	log, contents, err := wal.Open(wal.Options{Files: s.files, Dir: s.path(logFolder)})
 	if err != nil {
 		return nil, err
 	}
@@ -112,17 +112,17 @@
 		return nil, err
 	}
 	r := &recovery{state: store.New()}
-	r.consensus.Hard = contents.Hard
+	r.consensus.Hard = contents.HardState
 	if newest == nil {
 		r.consensus.Entries = contents.Entries
 		return r, nil
 	}
 	if newest.Meta.Index > contents.Snapshot.GetIndex() {
 		// The process crashed between making the snapshot durable and marking it.
-		if err := s.log.Mark(newest.Meta); err != nil {
+		if err := s.log.MarkSnapshot(newest.Meta); err != nil {
 			return nil, err
 		}
-		contents.Mark(newest.Meta)
+		contents.MarkSnapshot(newest.Meta)
 	}
 	if r.state, err = decodeState(newest.Data); err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	if err := s.snapshots.Save(&snapshot.Snapshot{Meta: bootstrapped.Snapshot, Data: data}); err != nil {
 		return err
 	}
-	return s.log.Mark(bootstrapped.Snapshot)
+	return s.log.MarkSnapshot(bootstrapped.Snapshot)
 }
 
 func (s *storage) readInitial() error {
--- a/internal/state/wal/contents.go
+++ b/internal/state/wal/contents.go
@@ -9,7 +9,7 @@
 
 // Contents is what a log contained when it was opened.
 type Contents struct {
-	Hard *consensuspb.HardState
+	HardState *consensuspb.HardState
 	// Snapshot is the newest snapshot marker, or nil if there is none.
 	Snapshot *consensuspb.SnapshotMeta
 	// Entries are contiguous. They may begin before the snapshot.
@@ -18,15 +18,15 @@
 
 // Empty reports whether nothing was ever written.
 func (c *Contents) Empty() bool {
-	return c.Hard == nil && c.Snapshot == nil && len(c.Entries) == 0
+	return c.HardState == nil && c.Snapshot == nil && len(c.Entries) == 0
 }
 
 func (c *Contents) apply(record *consensuspb.LogRecord) error {
 	if record.Hard != nil {
-		c.Hard = record.Hard
+		c.HardState = record.Hard
 	}
 	if record.Snapshot != nil && !proto.Equal(record.Snapshot, c.Snapshot) {
-		c.Mark(record.Snapshot)
+		c.MarkSnapshot(record.Snapshot)
 	}
 	for _, entry := range record.Entries {
 		if err := c.appendEntry(entry); err != nil {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// Mark has the same effect on the contents as Log.Mark has on the log.
-func (c *Contents) Mark(meta *consensuspb.SnapshotMeta) {
+// MarkSnapshot has the same effect on the contents as Log.MarkSnapshot has on the log.
+func (c *Contents) MarkSnapshot(meta *consensuspb.SnapshotMeta) {
 	c.Snapshot = meta
 	if c.replacedBy(meta) {
 		c.Entries = nil
--- a/internal/state/wal/wal.go
+++ b/internal/state/wal/wal.go
@@ -20,8 +20,8 @@
 
 // Options of a log.
 type Options struct {
-	Files  disk.FS
-	Folder string
+	Files disk.FS
+	Dir   string
 	// SegmentBytes is the size limit of a segment; 0 means DefaultSegmentBytes.
 	SegmentBytes int64
 }
@@ -52,13 +52,13 @@
 		options.SegmentBytes = DefaultSegmentBytes
 	}
 	l := &Log{options: options}
-	if err := options.Files.MkdirAll(options.Folder); err != nil {
-		return nil, nil, disk.WrapError(err, "create %s", options.Folder)
+	if err := options.Files.MkdirAll(options.Dir); err != nil {
+		return nil, nil, disk.WrapError(err, "create %s", options.Dir)
 	}
-	if err := disk.RemoveTemp(options.Files, options.Folder); err != nil {
+	if err := disk.RemoveTemp(options.Files, options.Dir); err != nil {
 		return nil, nil, err
 	}
-	numbers, err := listSegments(options.Files, options.Folder)
+	numbers, err := listSegments(options.Files, options.Dir)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -69,11 +69,11 @@
 			return nil, nil, err
 		}
 	}
-	if err := contents.checkReachesSnapshot(options.Folder); err != nil {
+	if err := contents.checkReachesSnapshot(options.Dir); err != nil {
 		l.Close()
 		return nil, nil, err
 	}
-	l.hard, l.snapshot = contents.Hard, contents.Snapshot
+	l.hard, l.snapshot = contents.HardState, contents.Snapshot
 	if len(numbers) == 0 {
 		if err := l.startSegment(1); err != nil {
 			return nil, nil, err
@@ -83,7 +83,7 @@
 }
 
 func (l *Log) load(number uint64, isLast bool, contents *Contents) error {
-	s := segment{number: number, path: filepath.Join(l.options.Folder, segmentName(number))}
+	s := segment{number: number, path: filepath.Join(l.options.Dir, segmentName(number))}
 	file, err := l.options.Files.Open(s.path)
 	if err != nil {
 		return disk.WrapError(err, "open %s", s.path)
@@ -139,12 +139,12 @@
 	return l.write(&consensuspb.LogRecord{Hard: hard, Entries: entries})
 }
 
-// Mark records that a snapshot is durable. If the log has no entry at its index, or one of
+// MarkSnapshot records that a snapshot is durable. If the log has no entry at its index, or one of
 // another term, the log is emptied: the snapshot came from the leader and replaces it. A
 // marker older than the current one is ignored: a save that finishes after a newer snapshot
 // was installed would otherwise put the marker before the first entry of the log, and the
 // next start would fail because of the gap.
-func (l *Log) Mark(meta *consensuspb.SnapshotMeta) error {
+func (l *Log) MarkSnapshot(meta *consensuspb.SnapshotMeta) error {
 	if meta.Index < l.snapshot.GetIndex() {
 		return nil
 	}
@@ -183,7 +183,7 @@
 // the record that was written is truncated; none of it was synced, so the next append starts
 // from a clean tail.
 func (l *Log) abortWrite(err error) error {
-	fault := disk.WrapError(err, "write the log in %s", l.options.Folder)
+	fault := disk.WrapError(err, "write the log in %s", l.options.Dir)
 	if !disk.Retryable(fault) {
 		return l.fail(err)
 	}
@@ -207,7 +207,7 @@
 // fail disables the log permanently. The bytes that were not synced are truncated, so that
 // a restart doesn't read them from the kernel's page cache as if they were durable.
 func (l *Log) fail(err error) error {
-	l.failed = disk.WrapError(err, "write the log in %s", l.options.Folder)
+	l.failed = disk.WrapError(err, "write the log in %s", l.options.Dir)
 	_ = l.active.Truncate(l.synced)
 	return l.failed
 }
@@ -227,7 +227,7 @@
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(l.options.Folder, segmentName(number))
+	path := filepath.Join(l.options.Dir, segmentName(number))
 	if err := disk.Replace(l.options.Files, path, header); err != nil {
 		return err
 	}
@@ -257,8 +257,8 @@
 	if !l.removalsUnsynced {
 		return nil
 	}
-	if err := l.options.Files.SyncDir(l.options.Folder); err != nil {
-		fault := disk.WrapError(err, "sync %s", l.options.Folder)
+	if err := l.options.Files.SyncDir(l.options.Dir); err != nil {
+		fault := disk.WrapError(err, "sync %s", l.options.Dir)
 		if disk.Retryable(fault) {
 			return fault
 		}
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -18,7 +18,7 @@
 const dir = "/log"
 
 func open(t is.T, files *disktest.FS, segmentBytes int64) (*wal.Log, *wal.Contents) {
-	log, contents, err := wal.Open(wal.Options{Files: files, Folder: dir, SegmentBytes: segmentBytes})
+	log, contents, err := wal.Open(wal.Options{Files: files, Dir: dir, SegmentBytes: segmentBytes})
 	is.New(t).NoErr(err)
 	return log, contents
 }
@@ -52,7 +52,7 @@
 		is.NoErr(err)
 		reopened, contents := open(t, torn, 0)
 		is.Equal(len(contents.Entries), 2)
-		is.Equal(contents.Hard.Vote, "a.1")
+		is.Equal(contents.HardState.Vote, "a.1")
 		is.Equal(len(torn.Content(segmentPath("1"))), validBytes)
 		is.NoErr(reopened.Append(nil, entries(1, 3)))
 		_, contents = open(t, torn, 0)
@@ -68,8 +68,8 @@
 	files := disktest.New()
 	log, _ := open(t, files, 0)
 	is.NoErr(log.Append(&consensuspb.HardState{Term: 1}, entries(1, 1, 2, 3)))
-	is.NoErr(log.Mark(&consensuspb.SnapshotMeta{Index: 100, Term: 1}))
-	is.NoErr(log.Mark(&consensuspb.SnapshotMeta{Index: 2, Term: 1}))
+	is.NoErr(log.MarkSnapshot(&consensuspb.SnapshotMeta{Index: 100, Term: 1}))
+	is.NoErr(log.MarkSnapshot(&consensuspb.SnapshotMeta{Index: 2, Term: 1}))
 	is.NoErr(log.Append(nil, entries(1, 101)))
 	_, contents := open(t, files.Crash(0), 0)
 	is.Equal(contents.Snapshot.Index, uint64(100))
@@ -97,7 +97,7 @@
 				is.NoErr(log.Append(nil, entries(1, index)))
 			}
 			files.FlipBit(segmentPath("1"), 60)
-			_, _, err := wal.Open(wal.Options{Files: files, Folder: dir, SegmentBytes: segmentBytes})
+			_, _, err := wal.Open(wal.Options{Files: files, Dir: dir, SegmentBytes: segmentBytes})
 			is.True(failure.Is(err, failure.Corrupt))
 			is.True(strings.Contains(err.Error(), segmentPath("1")+" at offset 36"))
 		})
@@ -123,7 +123,7 @@
 				is.NoErr(log.Append(&consensuspb.HardState{Term: term, Vote: "a.1"}, nil))
 			}
 			damage(files)
-			_, _, err := wal.Open(wal.Options{Files: files, Folder: dir})
+			_, _, err := wal.Open(wal.Options{Files: files, Dir: dir})
 			is.True(failure.Is(err, failure.Corrupt))
 		})
 	}
@@ -191,7 +191,7 @@
 			is.NoErr(log.Append(newer, nil))
 			is.NoErr(log.Append(nil, entries(1, 2)))
 			_, contents := open(t, files.Crash(0), segment)
-			is.Equal(contents.Hard.Term, uint64(2))
+			is.Equal(contents.HardState.Term, uint64(2))
 			is.Equal(len(contents.Entries), 2)
 		})
 	}
@@ -223,12 +223,12 @@
 	for index := uint64(1); index <= 30; index++ {
 		is.NoErr(log.Append(nil, entries(7, index)))
 	}
-	is.NoErr(log.Mark(&consensuspb.SnapshotMeta{Index: 20, Term: 7}))
+	is.NoErr(log.MarkSnapshot(&consensuspb.SnapshotMeta{Index: 20, Term: 7}))
 	is.NoErr(log.Compact(20))
 	names, _ := files.Names(dir)
 	is.True(len(names) < 8)
 	_, contents := open(t, files.Crash(0), 200)
-	is.Equal(contents.Hard.Vote, "b.2")
+	is.Equal(contents.HardState.Vote, "b.2")
 	is.Equal(contents.Snapshot.Index, uint64(20))
 	is.True(contents.Entries[0].Index <= 21)
 	is.Equal(contents.Entries[len(contents.Entries)-1].Index, uint64(30))
@@ -308,7 +308,7 @@
 
 func (m *model) snapshot(t *rapid.T, log *wal.Log, index, term uint64) {
 	m.snapshotMeta = &consensuspb.SnapshotMeta{Index: index, Term: term}
-	if err := log.Mark(m.snapshotMeta); err != nil {
+	if err := log.MarkSnapshot(m.snapshotMeta); err != nil {
 		t.Fatal(err)
 	}
 	if err := log.Compact(index); err != nil {
@@ -322,7 +322,7 @@
 func (m *model) reopen(t *rapid.T, files *disktest.FS) *wal.Log {
 	is := is.New(t)
 	log, contents := open(t, files, 400)
-	is.Equal(contents.Hard.GetTerm(), m.hard.GetTerm())
+	is.Equal(contents.HardState.GetTerm(), m.hard.GetTerm())
 	is.Equal(contents.Snapshot.GetIndex(), m.snapshotMeta.GetIndex())
 	kept := contents.Entries
 	for len(kept) > 0 && kept[0].Index <= m.snapshotMeta.GetIndex() {
