--- a/internal/coordination/replica/snapshots.go
+++ b/internal/coordination/replica/snapshots.go
@@ -81,7 +81,7 @@
 		err = c.disk.log.MarkSnapshot(meta)
 	}
 	if err == nil {
-		err = c.disk.log.Compact(c.disk.snapshots.Oldest())
+		err = c.disk.log.Compact(c.disk.snapshots.CompactionIndex())
 	}
 	if disk.Retryable(err) {
 		c.postponeSnapshot(err)
--- a/internal/coordination/replica/storage.go
+++ b/internal/coordination/replica/storage.go
@@ -31,7 +31,7 @@
 	lock      *disk.Lock
 	identity  string
 	log       *wal.Log
-	snapshots *snapshot.Folder
+	snapshots *snapshot.Store
 	// initial is the initial configuration; nil if this replica did not take part in the
 	// bootstrap.
 	initial *consensuspb.Configuration
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -18,8 +18,8 @@
 // retained is the number of snapshots kept on disk.
 const retained = 2
 
-// Folder is a directory of snapshots. It is safe for concurrent use.
-type Folder struct {
+// Store is a directory of snapshots. It is safe for concurrent use.
+type Store struct {
 	files disk.FS
 	path  string
 	mu    sync.Mutex
@@ -28,7 +28,7 @@
 }
 
 // Open lists the snapshots in a directory and creates the directory if it doesn't exist.
-func Open(files disk.FS, path string) (*Folder, error) {
+func Open(files disk.FS, path string) (*Store, error) {
 	if err := files.MkdirAll(path); err != nil {
 		return nil, disk.WrapError(err, "create %s", path)
 	}
@@ -39,7 +39,7 @@
 	if err != nil {
 		return nil, disk.WrapError(err, "list %s", path)
 	}
-	f := &Folder{files: files, path: path}
+	f := &Store{files: files, path: path}
 	for _, name := range names {
 		if id, ok := parseName(name, fileSuffix); ok {
 			f.ids = append(f.ids, id)
@@ -50,14 +50,14 @@
 }
 
 // Empty reports whether there is no snapshot.
-func (f *Folder) Empty() bool {
+func (f *Store) Empty() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.ids) == 0
 }
 
 // Newest returns the id of the newest snapshot; false if there is none.
-func (f *Folder) Newest() (ID, bool) {
+func (f *Store) Newest() (ID, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.ids) == 0 {
@@ -66,9 +66,9 @@
 	return f.ids[len(f.ids)-1], true
 }
 
-// Oldest returns the index up to which the log may be compacted, or 0 if it may not be: the
-// log must still continue from the older snapshot, which is the fallback.
-func (f *Folder) Oldest() uint64 {
+// CompactionIndex returns the index up to which the log may be compacted, or 0 if it may not
+// be: the log must still continue from the older snapshot, which is the fallback.
+func (f *Store) CompactionIndex() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.ids) < retained {
@@ -78,7 +78,7 @@
 }
 
 // Save makes a snapshot durable and removes all but the two newest.
-func (f *Folder) Save(s *Snapshot) error {
+func (f *Store) Save(s *Snapshot) error {
 	meta, err := proto.MarshalOptions{Deterministic: true}.Marshal(s.Meta)
 	if err != nil {
 		return failure.Wrap(failure.Internal, err, "encode the meta of a snapshot")
@@ -91,7 +91,7 @@
 }
 
 // add records a durable snapshot and removes those that are no longer retained.
-func (f *Folder) add(id ID) error {
+func (f *Store) add(id ID) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, have := range f.ids {
@@ -105,7 +105,7 @@
 }
 
 // prune removes all but the newest retained snapshots.
-func (f *Folder) prune() error {
+func (f *Store) prune() error {
 	for len(f.ids) > retained {
 		if err := f.files.Remove(f.file(f.ids[0], fileSuffix)); err != nil {
 			return disk.WrapError(err, "remove an old snapshot")
@@ -120,7 +120,7 @@
 // otherwise the state in between would be lost silently. logFirst and logLast are the
 // indexes of the first and last entries of the log, 0 if it has none; mark is its newest
 // snapshot marker, or nil.
-func (f *Folder) Load(logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) (*Snapshot, error) {
+func (f *Store) Load(logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) (*Snapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var damage error
@@ -155,7 +155,7 @@
 
 // renameDamaged renames a corrupted snapshot, which is kept for inspection, after checking
 // that the next older one can replace it.
-func (f *Folder) renameDamaged(id ID, logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) error {
+func (f *Store) renameDamaged(id ID, logFirst, logLast uint64, mark *consensuspb.SnapshotMeta) error {
 	rest := f.ids[:len(f.ids)-1]
 	if len(rest) == 0 {
 		return failure.New(failure.Corrupt, "no older snapshot")
@@ -174,7 +174,7 @@
 	return nil
 }
 
-func (f *Folder) read(id ID) (*Snapshot, error) {
+func (f *Store) read(id ID) (*Snapshot, error) {
 	path := f.file(id, fileSuffix)
 	content, found, err := disk.ReadFile(f.files, path)
 	if err != nil {
@@ -193,6 +193,6 @@
 	return s, nil
 }
 
-func (f *Folder) file(id ID, suffix string) string {
+func (f *Store) file(id ID, suffix string) string {
 	return filepath.Join(f.path, id.name()+suffix)
 }
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -15,7 +15,7 @@
 
 const dir = "/snapshots"
 
-func open(t is.T, files *disktest.FS) *snapshot.Folder {
+func open(t is.T, files *disktest.FS) *snapshot.Store {
 	f, err := snapshot.Open(files, dir)
 	is.New(t).NoErr(err)
 	return f
@@ -39,7 +39,7 @@
 	for _, index := range []uint64{10, 20, 30} {
 		is.NoErr(f.Save(newSnapshot(index)))
 	}
-	is.Equal(f.Oldest(), uint64(20))
+	is.Equal(f.CompactionIndex(), uint64(20))
 	files.FailSyncs = 1
 	is.True(failure.Is(f.Save(newSnapshot(40)), failure.DiskFailed))
 	loaded, err := open(t, files.Crash(7)).Load(11, 45, newSnapshot(30).Meta)
--- a/internal/state/snapshot/transfer.go
+++ b/internal/state/snapshot/transfer.go
@@ -21,7 +21,7 @@
 // ReadChunk returns up to maxBytes of a snapshot file from an offset in bytes. It fails
 // with NotFound if the snapshot was removed because of newer ones; the receiver then starts
 // over.
-func (f *Folder) ReadChunk(id ID, offset int64, maxBytes int) (*Chunk, error) {
+func (f *Store) ReadChunk(id ID, offset int64, maxBytes int) (*Chunk, error) {
 	path := f.file(id, fileSuffix)
 	file, err := f.files.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -49,14 +49,14 @@
 // an interrupted transfer resumes where it stopped, even after a restart. Nothing is synced
 // or used before Finish has verified the whole file.
 type Incoming struct {
-	folder *Folder
+	store  *Store
 	id     ID
 	file   disk.File
 	offset int64
 }
 
 // Receive starts or resumes a transfer and removes partial files of other snapshots.
-func (f *Folder) Receive(id ID) (*Incoming, error) {
+func (f *Store) Receive(id ID) (*Incoming, error) {
 	if err := f.removePartials(id); err != nil {
 		return nil, err
 	}
@@ -73,12 +73,12 @@
 		file.Close()
 		return nil, disk.WrapError(err, "size of %s", path)
 	}
-	return &Incoming{folder: f, id: id, file: file, offset: offset}, nil
+	return &Incoming{store: f, id: id, file: file, offset: offset}, nil
 }
 
 // Resumable returns the id of a transfer that was started and not finished; false if there
 // is none.
-func (f *Folder) Resumable() (ID, bool) {
+func (f *Store) Resumable() (ID, bool) {
 	names, err := f.files.Names(f.path)
 	if err != nil {
 		return ID{}, false
@@ -91,7 +91,7 @@
 	return ID{}, false
 }
 
-func (f *Folder) removePartials(except ID) error {
+func (f *Store) removePartials(except ID) error {
 	names, err := f.files.Names(f.path)
 	if err != nil {
 		return disk.WrapError(err, "list %s", f.path)
@@ -127,7 +127,7 @@
 // snapshot. A file that fails verification is removed, so that the transfer starts over.
 func (in *Incoming) Finish() (*Snapshot, error) {
 	defer in.file.Close()
-	f, path := in.folder, in.folder.file(in.id, partialSuffix)
+	f, path := in.store, in.store.file(in.id, partialSuffix)
 	content, err := disk.ReadAll(in.file)
 	if err != nil {
 		return nil, disk.WrapError(err, "read %s", path)
@@ -150,10 +150,10 @@
 	if err := in.file.Sync(); err != nil {
 		return err
 	}
-	if err := in.folder.files.Rename(path, in.folder.file(in.id, fileSuffix)); err != nil {
+	if err := in.store.files.Rename(path, in.store.file(in.id, fileSuffix)); err != nil {
 		return err
 	}
-	return in.folder.files.SyncDir(in.folder.path)
+	return in.store.files.SyncDir(in.store.path)
 }
 
 // Close closes the partial file and keeps it, so that the transfer can be resumed.
