--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -97,7 +97,7 @@
 
 func (c *Controller) pause() time.Duration {
 	state := c.log.State()
-	if c.led && state.Active() == 0 && !recurrence.HasPending(state) {
+	if c.led && state.ActiveCount() == 0 && !recurrence.HasPending(state) {
 		return idleInterval
 	}
 	return passInterval
--- a/internal/coordination/follower/applybatch.go
+++ b/internal/coordination/follower/applybatch.go
@@ -79,7 +79,7 @@
 		if err != nil {
 			return err
 		}
-		if entry.Command != nil && !store.Understands(entry.Command) {
+		if entry.Command != nil && !store.Supports(entry.Command) {
 			return failure.New(failure.CommandTooNew, "entry %d has a command of a newer version", entry.Index)
 		}
 		state, _ = control.Apply(state, entry)
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -283,7 +283,7 @@
 	if err := proto.Unmarshal(entry.Data, logEntry.Command); err != nil {
 		return nil, failure.Wrap(failure.Corrupt, err, "decode command %d", entry.Index)
 	}
-	if !store.Understands(logEntry.Command) {
+	if !store.Supports(logEntry.Command) {
 		return nil, failure.New(failure.CommandTooNew, "command %d was written by a newer version", entry.Index)
 	}
 	return logEntry, nil
--- a/internal/state/store/apply.go
+++ b/internal/state/store/apply.go
@@ -44,11 +44,11 @@
 	return &next, result
 }
 
-// Understands reports whether this version supports the command. A process of a newer
+// Supports reports whether this version supports the command. A process of a newer
 // version may have proposed it; skipping it would make this replica's state diverge
 // permanently, so the caller must stop instead. New fields of known commands must not
 // change how an older version applies them.
-func Understands(command *controlpb.Command) bool {
+func Supports(command *controlpb.Command) bool {
 	return command.Op != nil || len(command.ProtoReflect().GetUnknown()) == 0
 }
 
@@ -66,7 +66,7 @@
 		return true
 	case nil:
 		// A read through the log has no operation.
-		return Understands(command)
+		return Supports(command)
 	}
 	return false
 }
--- a/internal/state/store/replay_bench_test.go
+++ b/internal/state/store/replay_bench_test.go
@@ -30,7 +30,7 @@
 		state, _ = state.Apply(state.Index()+1, command)
 	}
 	b.StopTimer()
-	if state.Active() == 0 {
+	if state.ActiveCount() == 0 {
 		b.Fatal("nothing is in use")
 	}
 }
--- a/internal/state/store/state_test.go
+++ b/internal/state/store/state_test.go
@@ -190,9 +190,9 @@
 // replica's state would diverge from the others'.
 func TestUnknownCommandIsNotSkipped(t *testing.T) {
 	is := is.New(t)
-	is.True(store.Understands(&controlpb.Command{}))
-	is.True(store.Understands(newSessionCommand("c", 1, 1, store.New())))
+	is.True(store.Supports(&controlpb.Command{}))
+	is.True(store.Supports(newSessionCommand("c", 1, 1, store.New())))
 	newer := protowire.AppendTag(nil, 1000, protowire.BytesType)
 	newer = protowire.AppendBytes(newer, nil)
-	is.True(!store.Understands(decode(t, newer)))
+	is.True(!store.Supports(decode(t, newer)))
 }
--- a/internal/state/store/store.go
+++ b/internal/state/store/store.go
@@ -122,8 +122,8 @@
 // cost of a scheduling pass depends on open jobs only and not on all retained ones.
 func (s *State) ActiveJobs() []*controlpb.Job { return list(s.active) }
 
-// Active counts the jobs that have not ended.
-func (s *State) Active() int { return s.active.Len() }
+// ActiveCount counts the jobs that have not ended.
+func (s *State) ActiveCount() int { return s.active.Len() }
 
 // Claim looks up the claim on a customer's request key.
 func (s *State) Claim(customer, key string) (*controlpb.Claim, bool) {
--- a/internal/state/store/workflows.go
+++ b/internal/state/store/workflows.go
@@ -273,7 +273,7 @@
 	w.EndedMs = s.timeMs
 	w.Specification, w.Steps, w.Progress = "", nil, nil
 	s.putWorkflow(w)
-	for _, job := range s.Units(w.Id) {
+	for _, job := range s.WorkflowJobs(w.Id) {
 		if state == controlpb.WorkflowState_WORKFLOW_STATE_FAILED {
 			s.clearJobFailures(job)
 		}
@@ -287,8 +287,8 @@
 	}
 }
 
-// Units lists the retained jobs of a workflow.
-func (s *State) Units(workflow string) []*controlpb.Job {
+// WorkflowJobs lists the retained jobs of a workflow.
+func (s *State) WorkflowJobs(workflow string) []*controlpb.Job {
 	var jobs []*controlpb.Job
 	s.jobs.Root().WalkPrefix([]byte(workflow+"."), func(_ []byte, job *controlpb.Job) bool {
 		// The id of another workflow may begin with this workflow's id and a dot.
--- a/internal/transport/httpapi/workflows.go
+++ b/internal/transport/httpapi/workflows.go
@@ -90,7 +90,7 @@
 		SubmittedMs:     workflow.SubmittedMs,
 		EndedMs:         workflow.EndedMs,
 	}
-	for _, job := range s.control.State().Units(workflow.Id) {
+	for _, job := range s.control.State().WorkflowJobs(workflow.Id) {
 		described.Jobs = append(described.Jobs, describe(job))
 	}
 	return described
