--- a/internal/coordination/control/control.go
+++ b/internal/coordination/control/control.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// Read waits until the local state includes everything that was committed before the
+// Barrier waits until the local state includes everything that was committed before the
 // call, by committing a command without effect and waiting until it is applied.
-func Read(ctx context.Context, log Log) error {
+func Barrier(ctx context.Context, log Log) error {
 	result, err := log.Propose(ctx, &controlpb.Command{})
 	if err != nil {
 		return err
--- a/internal/coordination/operators/operators.go
+++ b/internal/coordination/operators/operators.go
@@ -52,7 +52,7 @@
 func (d *Desk) Read(ctx context.Context) (*controlpb.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := control.Read(ctx, d.log); err != nil {
+	if err := control.Barrier(ctx, d.log); err != nil {
 		// A read has no unknown outcome: the operator's client can retry elsewhere.
 		return nil, failure.Wrap(failure.StaleState, err, "the newest declarations are not known")
 	}
--- a/internal/coordination/workflows/workflows.go
+++ b/internal/coordination/workflows/workflows.go
@@ -200,7 +200,7 @@
 	}
 	ctx, cancel := call.withTimeout(ctx)
 	defer cancel()
-	err := control.Read(ctx, h.log)
+	err := control.Barrier(ctx, h.log)
 	state := h.log.State()
 	if err != nil {
 		return 0, h.statusError(target, state, began, withRetryAfter(failure.From(err)))
