--- a/internal/coordination/feed/feed.go
+++ b/internal/coordination/feed/feed.go
@@ -77,22 +77,22 @@
 	transfers atomic.Int64
 }
 
-// NewServer creates a server. The owner of the source calls Applied before it
+// NewServer creates a server. The owner of the source calls EntriesApplied before it
 // publishes the state that results from the entries.
 func NewServer(source Source) *Server {
 	return &Server{source: source, tail: NewTail(TailBytes), snapshots: newSnapshotCache()}
 }
 
-// Applied retains applied entries for followers.
-func (s *Server) Applied(entries ...*peerpb.LogEntry) { s.tail.Append(entries...) }
+// EntriesApplied retains applied entries for followers.
+func (s *Server) EntriesApplied(entries ...*peerpb.LogEntry) { s.tail.Append(entries...) }
 
-// Passed offers the state after each applied entry for retention as a snapshot.
-func (s *Server) Passed(state *store.State) { s.retained.add(state) }
+// StateApplied offers the state after each applied entry for retention as a snapshot.
+func (s *Server) StateApplied(state *store.State) { s.retained.add(state) }
 
-// Installed records that a snapshot replaced the state. It is called after the last
+// SnapshotInstalled records that a snapshot replaced the state. It is called after the last
 // entry was applied and before the owner publishes the state. The retained entries
 // end before the snapshot: a follower that received only those would never catch up.
-func (s *Server) Installed(state *store.State) {
+func (s *Server) SnapshotInstalled(state *store.State) {
 	s.tail.Reset()
 	s.retained.reset(state)
 }
--- a/internal/coordination/follower/applybatch.go
+++ b/internal/coordination/follower/applybatch.go
@@ -58,7 +58,7 @@
 	}
 	snapshots.Add(1)
 	state := store.Restore(snapshot)
-	f.feed.Installed(state)
+	f.feed.SnapshotInstalled(state)
 	f.published.Publish(state)
 	return nil
 }
@@ -83,11 +83,11 @@
 			return failure.New(failure.CommandTooNew, "entry %d has a command of a newer version", entry.Index)
 		}
 		state, _ = control.Apply(state, entry)
-		f.feed.Passed(state)
+		f.feed.StateApplied(state)
 		applied = append(applied, entry)
 	}
 	if len(applied) > 0 {
-		f.feed.Applied(applied...)
+		f.feed.EntriesApplied(applied...)
 		f.published.Publish(state)
 	}
 	return nil
--- a/internal/coordination/follower/network_test.go
+++ b/internal/coordination/follower/network_test.go
@@ -329,7 +329,7 @@
 func (v *voter) apply(command *controlpb.Command) {
 	entry := &peerpb.LogEntry{Index: v.State().Index() + 1, Command: command}
 	state, _ := control.Apply(v.State(), entry)
-	v.feed.Applied(entry)
+	v.feed.EntriesApplied(entry)
 	v.Publish(state)
 }
 
--- a/internal/coordination/follower/slowlink_test.go
+++ b/internal/coordination/follower/slowlink_test.go
@@ -145,7 +145,7 @@
 		second := Candidate{Name: "w", DataCentre: "dc2", Replica: true}
 		for _, c := range []Candidate{first, second} {
 			v := newVoter(m, c.Name)
-			v.feed.Installed(state)
+			v.feed.SnapshotInstalled(state)
 			v.Publish(state)
 		}
 		m.rates["r01"] = slowLink
--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -260,11 +260,11 @@
 		}
 		applied[i] = logEntry
 		c.state, results[i] = control.Apply(c.state, logEntry)
-		c.replica.feed.Passed(c.state)
+		c.replica.feed.StateApplied(c.state)
 		c.saving.bytes += int64(len(entry.Data))
 	}
 	commits.Add(int64(len(entries)))
-	c.replica.feed.Applied(applied...)
+	c.replica.feed.EntriesApplied(applied...)
 	c.replica.published.Publish(c.state)
 	for i, entry := range entries {
 		c.completeProposal(entry, results[i])
--- a/internal/coordination/replica/snapshots.go
+++ b/internal/coordination/replica/snapshots.go
@@ -231,7 +231,7 @@
 	c.saving.index, c.saving.bytes = s.Meta.Index, 0
 	c.failCoveredProposals(s.Meta.Index)
 	snapshotsInstalled.Add(1)
-	c.replica.feed.Installed(state)
+	c.replica.feed.SnapshotInstalled(state)
 	c.replica.published.Publish(state)
 }
 
