--- a/internal/coordination/operators/operators.go
+++ b/internal/coordination/operators/operators.go
@@ -17,20 +17,22 @@
 // callTimeout limits one call: an operator's client tries another instance after a second.
 const callTimeout = 900 * time.Millisecond
 
-// Desk serves the operators' requests at one instance.
-type Desk struct {
+// Service serves the operators' requests at one instance.
+type Service struct {
 	log    control.Log
 	logger *logrus.Logger
 }
 
-// NewDesk creates a Desk.
-func NewDesk(log control.Log, logger *logrus.Logger) *Desk { return &Desk{log: log, logger: logger} }
+// NewDesk creates a Service.
+func NewDesk(log control.Log, logger *logrus.Logger) *Service {
+	return &Service{log: log, logger: logger}
+}
 
 // Replace commits a set of declarations. A set with an invalid item is refused as a whole
 // with bad_declaration, whatever its version. A set that a higher version has superseded is
 // acknowledged and changes nothing, so that a resend is never refused.
-func (d *Desk) Replace(ctx context.Context, change *controlpb.ReplaceDeclarations) error {
-	entry := d.logger.WithField("version", change.Document.Version)
+func (s *Service) Replace(ctx context.Context, change *controlpb.ReplaceDeclarations) error {
+	entry := s.logger.WithField("version", change.Document.Version)
 	if violations := declaration.CheckDocument(change.Items); len(violations) > 0 {
 		first := violations[0]
 		entry.WithFields(logrus.Fields{"item": first.Item, "field": first.Field, "reason": first.Reason}).Warn("declarations refused")
@@ -38,7 +40,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	result, err := d.log.Propose(ctx, &controlpb.Command{Op: &controlpb.Command_Replace{Replace: change}})
+	result, err := s.log.Propose(ctx, &controlpb.Command{Op: &controlpb.Command_Replace{Replace: change}})
 	if err != nil {
 		entry.WithField("code", failure.From(err).Code).Warn("declarations not committed")
 		return err
@@ -49,14 +51,14 @@
 
 // Read returns the newest document. It fails with stale_state if this instance cannot
 // determine which is the newest, and with not_ready if there is none yet.
-func (d *Desk) Read(ctx context.Context) (*controlpb.Document, error) {
+func (s *Service) Read(ctx context.Context) (*controlpb.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if err := control.Barrier(ctx, d.log); err != nil {
+	if err := control.Barrier(ctx, s.log); err != nil {
 		// A read has no unknown outcome: the operator's client can retry elsewhere.
 		return nil, failure.Wrap(failure.StaleState, err, "the newest declarations are not known")
 	}
-	document := d.log.State().Document()
+	document := s.log.State().Document()
 	if document == nil {
 		return nil, failure.New(failure.NotReady, "no declarations yet")
 	}
