--- a/internal/coordination/report/report.go
+++ b/internal/coordination/report/report.go
@@ -24,8 +24,8 @@
 	Jobs() []*controlpb.Job
 }
 
-// Of returns the report on the state and the live workers.
-func Of(state State, workers []*peerpb.Upstream) *api.Status {
+// Summarize returns the report on the state and the live workers.
+func Summarize(state State, workers []*peerpb.Upstream) *api.Status {
 	jobs := state.Jobs()
 	customers := byCustomer(state.Items(), jobs)
 	status := &api.Status{Jobs: map[string]int{}, Workers: len(workers), Customers: []api.CustomerStatus{}}
--- a/internal/coordination/report/report_test.go
+++ b/internal/coordination/report/report_test.go
@@ -31,7 +31,7 @@
 		Customer: "planners", State: controlpb.JobState_JOB_STATE_RUNNING, Tasks: 1, Accelerators: 2,
 		Placements: []*controlpb.Placement{{Worker: "w1", Accelerators: []uint32{0, 1}}},
 	}
-	status := Of(state{
+	status := Summarize(state{
 		items: []*controlpb.Item{{Body: &controlpb.Item_Customer{Customer: crews}}},
 		jobs:  []*controlpb.Job{completed(1000, 3000), completed(3000, 3000), completed(2000, 0), running},
 	}, []*peerpb.Upstream{{Id: "w1", Accelerators: 8}})
--- a/internal/transport/httpapi/operators.go
+++ b/internal/transport/httpapi/operators.go
@@ -25,7 +25,7 @@
 		return
 	}
 	state := s.control.State()
-	status := report.Of(state, s.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER))
+	status := report.Summarize(state, s.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER))
 	status.Revision = state.Revision()
 	status.Index = state.Index()
 	status.Leader = s.control.Leader()
