--- a/internal/coordination/fragmentation/fragmentation.go
+++ b/internal/coordination/fragmentation/fragmentation.go
@@ -30,10 +30,10 @@
 	Weight       float64
 }
 
-// Of returns the fraction of the idle accelerators, from 0 to 1, that gangs of the
+// Ratio returns the fraction of the idle accelerators, from 0 to 1, that gangs of the
 // demands cannot use, as an average weighted by Weight. It is 0 if no accelerator
 // is idle or no demand needs accelerators.
-func Of(workers []Worker, demands []Demand) float64 {
+func Ratio(workers []Worker, demands []Demand) float64 {
 	var idle uint64
 	for _, worker := range workers {
 		idle += uint64(worker.Idle)
--- a/internal/coordination/fragmentation/fragmentation_test.go
+++ b/internal/coordination/fragmentation/fragmentation_test.go
@@ -8,7 +8,7 @@
 	"pinewinch.example/pinewinch/internal/protocol/controlpb"
 )
 
-func TestOf(t *testing.T) {
+func TestRatio(t *testing.T) {
 	worker := func(rack, name string, idle uint32) Worker {
 		return Worker{DataCentre: "dc", Rack: rack, Name: name, Idle: idle}
 	}
@@ -37,7 +37,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			is.New(t).Equal(Of(test.workers, test.demands), test.want)
+			is.New(t).Equal(Ratio(test.workers, test.demands), test.want)
 		})
 	}
 }
--- a/internal/coordination/report/report.go
+++ b/internal/coordination/report/report.go
@@ -50,7 +50,7 @@
 	status.Used = status.Accelerators - status.Idle
 	status.Waste = total.waste(&usage)
 	status.Completion = total.completion()
-	status.Fragmentation = fragmentation.Of(idleWorkers(workers, allocated), demands(state.Items()))
+	status.Fragmentation = fragmentation.Ratio(idleWorkers(workers, allocated), demands(state.Items()))
 	return status
 }
 
