--- a/internal/coordination/claims/executor.go
+++ b/internal/coordination/claims/executor.go
@@ -168,7 +168,7 @@
 // answer to this one.
 func (e *Executor) sendIdempotent(ctx context.Context, request *routing.Request) (*api.Answer, error) {
 	request.Call.ID = ulid.Make().String()
-	request.Call.Hold = maxBufferedIdempotent
+	request.Call.MaxBufferedBytes = maxBufferedIdempotent
 	return e.sender.Send(ctx, request, true)
 }
 
--- a/internal/coordination/claims/executor_test.go
+++ b/internal/coordination/claims/executor_test.go
@@ -194,7 +194,7 @@
 		runs   int
 	}{
 		{"truncated answer", nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "cut"), failure.TruncatedAnswer, failure.NotRunFalse, 0},
-		{"truncated stream", &api.Answer{Status: 200, Streamed: true, Cut: errLost}, nil, failure.TruncatedAnswer, failure.NotRunFalse, 0},
+		{"truncated stream", &api.Answer{Status: 200, Streamed: true, TruncationErr: errLost}, nil, failure.TruncatedAnswer, failure.NotRunFalse, 0},
 		{"complete stream", &api.Answer{Status: 200, Streamed: true}, nil, failure.AnswerGone, failure.NotRunFalse, 0},
 		{"connection lost", nil, errLost, failure.OutcomeUnknown, failure.NotRunUnknown, 0},
 		{"refused before it ran", nil, failure.New(failure.Overloaded, "full"), "", "", 1},
--- a/internal/coordination/claims/fakes_test.go
+++ b/internal/coordination/claims/fakes_test.go
@@ -100,8 +100,8 @@
 // run simulates a dispatched request that takes duration to run, also if the
 // caller's context ends earlier.
 func (m *fakeMinion) run(request *routing.Request, duration time.Duration) (*api.Answer, error) {
-	if request.Call.Dispatched != nil {
-		request.Call.Dispatched(true)
+	if request.Call.OnDispatch != nil {
+		request.Call.OnDispatch(true)
 	}
 	m.mu.Lock()
 	m.runs++
--- a/internal/coordination/claims/run.go
+++ b/internal/coordination/claims/run.go
@@ -39,9 +39,9 @@
 func (e *Executor) run(ctx context.Context, request *routing.Request, claim *controlpb.Claim) (*api.Answer, error) {
 	f := &inFlightRequest{done: make(chan sendResult, 1), changed: make(chan struct{}, 1)}
 	request.Call.ID = request.Customer + "/" + request.Key
-	request.Call.Hold = maxBufferedClaimed
-	request.Call.Late = lateAnswerWindow
-	request.Call.Dispatched = f.setDispatched
+	request.Call.MaxBufferedBytes = maxBufferedClaimed
+	request.Call.LateAnswerWindow = lateAnswerWindow
+	request.Call.OnDispatch = f.setDispatched
 	e.background.Go(func() {
 		answer, err := e.sender.Send(ctx, request, false)
 		e.recordOutcome(ctx, claim, answer, err)
@@ -97,7 +97,7 @@
 }
 
 func outcomeOf(answer *api.Answer, err error) (controlpb.ClaimOutcome, string) {
-	if err == nil && answer.Cut == nil {
+	if err == nil && answer.TruncationErr == nil {
 		return controlpb.ClaimOutcome_CLAIM_OUTCOME_ANSWERED, ""
 	}
 	if err == nil {
--- a/internal/coordination/dispatch/gang/progress.go
+++ b/internal/coordination/dispatch/gang/progress.go
@@ -34,7 +34,7 @@
 // would stay there for as long as it hangs. Only the time up to the last report
 // counts; workers that stop reporting are handled by lease expiry.
 func (s *step) stalled(job *controlpb.Job, r *run, m *member) bool {
-	if s.config.StallAfter == 0 || m.phase != phaseRunning || m.progress.since.IsZero() || m.progress.percent >= api.WholePercent {
+	if s.config.StallAfter == 0 || m.phase != phaseRunning || m.progress.since.IsZero() || m.progress.percent >= api.CompletePercent {
 		return false
 	}
 	since := m.progress.since
@@ -49,5 +49,5 @@
 // counts as progress (minSpeedRatio).
 func maxTimePerPercent(job *controlpb.Job) time.Duration {
 	expected := time.Duration(job.RunTimeMs) * time.Millisecond
-	return time.Duration(float64(expected) / api.WholePercent / minSpeedRatio)
+	return time.Duration(float64(expected) / api.CompletePercent / minSpeedRatio)
 }
--- a/internal/coordination/dispatch/leases/progress.go
+++ b/internal/coordination/dispatch/leases/progress.go
@@ -58,7 +58,7 @@
 	for _, r := range t.running {
 		first, ok := t.firstReadings[runKey{r.Task, r.Run}]
 		span := t.reportClock - first.clock
-		if !ok || r.Percent >= api.WholePercent || span < minRateSpan.Milliseconds() || r.Percent < first.percent+minRatePercent {
+		if !ok || r.Percent >= api.CompletePercent || span < minRateSpan.Milliseconds() || r.Percent < first.percent+minRatePercent {
 			continue
 		}
 		if job, _, ok := FindTask(state, r.Task); ok && job.Tasks > 1 {
--- a/internal/coordination/routing/dispatcher.go
+++ b/internal/coordination/routing/dispatcher.go
@@ -166,7 +166,7 @@
 
 func outcomeOf(answer *api.Answer, err error) admission.Outcome {
 	if err == nil {
-		if answer.Status >= serverError || answer.Cut != nil {
+		if answer.Status >= serverError || answer.TruncationErr != nil {
 			return admission.Failed
 		}
 		return admission.Answered
--- a/internal/protocol/api/upstream.go
+++ b/internal/protocol/api/upstream.go
@@ -67,9 +67,9 @@
 	CheckpointedMs int64  `json:"checkpointed_ms,omitempty"`
 }
 
-// WholePercent is the progress of a task that has completed its work. A member of a
+// CompletePercent is the progress of a task that has completed its work. A member of a
 // gang may stay at it while it waits for the other members.
-const WholePercent = 100
+const CompletePercent = 100
 
 // AnnounceReply tells an upstream when to announce next and a worker which of its
 // tasks to continue. A renewed task may run for LeaseMs from the time at which the
@@ -211,16 +211,16 @@
 	// ID identifies the request; the answer must carry the same ID.
 	ID   string
 	Body []byte
-	// Hold is the size in bytes of the largest answer that is buffered. A larger answer
-	// is streamed to Sink; without a sink it is an error.
-	Hold int64
-	Sink AnswerSink
-	// Dispatched, if not nil, is called with true just before a connection carries the
+	// MaxBufferedBytes is the size in bytes of the largest answer that is buffered. A larger
+	// answer is streamed to Sink; without a sink it is an error.
+	MaxBufferedBytes int64
+	Sink             AnswerSink
+	// OnDispatch, if not nil, is called with true just before a connection carries the
 	// request, as it may run from then on, and with false when it certainly did not run.
-	Dispatched func(at bool)
-	// Late is how long after the caller stopped waiting the answer to a dispatched
+	OnDispatch func(at bool)
+	// LateAnswerWindow is how long after the caller stopped waiting the answer to a dispatched
 	// request is still accepted.
-	Late time.Duration
+	LateAnswerWindow time.Duration
 }
 
 // AnswerSink receives a large answer as a stream. Of all attempts of one request only
@@ -241,8 +241,8 @@
 	Streamed bool
 	// Length is the size of a streamed answer in bytes if it is known in advance, else -1.
 	Length int64
-	// Cut is the reason why a streamed answer was truncated, nil for a complete one.
+	// TruncationErr is the reason why a streamed answer was truncated, nil for a complete one.
 	// Part of a truncated answer has already reached the caller, so the request must
 	// not be sent to another minion.
-	Cut error
+	TruncationErr error
 }
--- a/internal/transport/httpapi/sink.go
+++ b/internal/transport/httpapi/sink.go
@@ -70,7 +70,7 @@
 // finish ends a streamed answer. Its status has been sent, so a truncated answer is
 // reported by aborting the connection before the last chunk or the declared length.
 func (s *answerSink) finish(answer *api.Answer, err error) {
-	complete := err == nil && answer.Cut == nil
+	complete := err == nil && answer.TruncationErr == nil
 	if !complete {
 		// A caller that does not read would block a pending write, and close with it.
 		_ = http.NewResponseController(s.w).SetWriteDeadline(time.Now())
--- a/internal/transport/httpapi/sink_test.go
+++ b/internal/transport/httpapi/sink_test.go
@@ -27,8 +27,8 @@
 	}{
 		{"complete, length known", 3, &api.Answer{}, nil, true},
 		{"complete, in chunks", -1, &api.Answer{}, nil, true},
-		{"truncated, length known", 9, &api.Answer{Cut: truncated}, nil, false},
-		{"truncated, in chunks", -1, &api.Answer{Cut: truncated}, nil, false},
+		{"truncated, length known", 9, &api.Answer{TruncationErr: truncated}, nil, false},
+		{"truncated, in chunks", -1, &api.Answer{TruncationErr: truncated}, nil, false},
 		{"deadline while streaming", -1, nil, truncated, false},
 	}
 	for _, c := range cases {
--- a/internal/transport/upstream/fuzz_test.go
+++ b/internal/transport/upstream/fuzz_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	x := &exchange{call: &api.ServeCall{ID: requestID, Hold: 1 << 16}, ctx: context.Background()}
+	x := &exchange{call: &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 16}, ctx: context.Background()}
 	answer, err := x.answer(response)
 	return answer, len(text) - source.Len() - reader.Buffered(), err
 }
--- a/internal/transport/upstream/serve.go
+++ b/internal/transport/upstream/serve.go
@@ -39,7 +39,7 @@
 	call    *api.ServeCall
 	address string
 	// caller is the caller's context; ctx is that of the exchange, which outlives the
-	// caller's by call.Late if the request has been dispatched.
+	// caller's by call.LateAnswerWindow if the request has been dispatched.
 	caller     context.Context
 	ctx        context.Context
 	cancel     context.CancelFunc
@@ -72,13 +72,13 @@
 		x.cancel()
 		return
 	}
-	x.timer.Store(time.AfterFunc(x.call.Late, x.cancel))
+	x.timer.Store(time.AfterFunc(x.call.LateAnswerWindow, x.cancel))
 }
 
 func (x *exchange) setDispatched(dispatched bool) {
 	x.dispatched.Store(dispatched)
-	if x.call.Dispatched != nil {
-		x.call.Dispatched(dispatched)
+	if x.call.OnDispatch != nil {
+		x.call.OnDispatch(dispatched)
 	}
 }
 
@@ -142,15 +142,15 @@
 		return nil, failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, err, "answer of %s", x.address)
 	}
 	answer := &api.Answer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Length: length}
-	if length <= x.call.Hold {
+	if length <= x.call.MaxBufferedBytes {
 		buffer := bytes.Buffer{}
 		buffer.Grow(int(max(length, 0)) + bytes.MinRead)
-		if _, err := buffer.ReadFrom(io.LimitReader(response.Body, x.call.Hold+1)); err != nil {
+		if _, err := buffer.ReadFrom(io.LimitReader(response.Body, x.call.MaxBufferedBytes+1)); err != nil {
 			return nil, x.readFailure(err)
 		}
 		answer.Body = buffer.Bytes()
 	}
-	if length <= x.call.Hold && int64(len(answer.Body)) <= x.call.Hold {
+	if length <= x.call.MaxBufferedBytes && int64(len(answer.Body)) <= x.call.MaxBufferedBytes {
 		return answer, x.checkLength(length, int64(len(answer.Body)))
 	}
 	return x.stream(answer, response.Body)
@@ -194,7 +194,7 @@
 // caller's connection is aborted, and not as an error, which could be retried.
 func (x *exchange) stream(answer *api.Answer, rest io.Reader) (*api.Answer, error) {
 	if x.call.Sink == nil {
-		return nil, failure.Ran(failure.TooLarge, failure.NotRunFalse, nil, "answer of %s is over %d bytes", x.address, x.call.Hold)
+		return nil, failure.Ran(failure.TooLarge, failure.NotRunFalse, nil, "answer of %s is over %d bytes", x.address, x.call.MaxBufferedBytes)
 	}
 	body, ok := x.call.Sink.Begin(answer)
 	if !ok {
@@ -207,7 +207,7 @@
 		err = x.checkLength(answer.Length, written)
 	}
 	if err != nil {
-		answer.Cut = failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, err, "answer of %s", x.address)
+		answer.TruncationErr = failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, err, "answer of %s", x.address)
 	}
 	return answer, nil
 }
--- a/internal/transport/upstream/serve_test.go
+++ b/internal/transport/upstream/serve_test.go
@@ -109,7 +109,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			minion := startRawMinion(t, func(int64, *http.Request) (string, bool) { return c.text, false })
-			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, Hold: 1 << 10, Body: []byte("x")})
+			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, Body: []byte("x")})
 			if c.code == "" {
 				is.NoErr(err)
 				is.Equal(string(answer.Body), c.body)
@@ -136,7 +136,7 @@
 				return "", false
 			})
 			client := NewClient(connections.ShareOf(1024, true), nil)
-			call := &api.ServeCall{ID: requestID, Hold: 1 << 10, Body: []byte(body)}
+			call := &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, Body: []byte(body)}
 			_, err := client.Serve(t.Context(), minion.address, call)
 			is.NoErr(err)
 			_, err = client.Serve(t.Context(), minion.address, call)
@@ -178,7 +178,7 @@
 				conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 				return staleConn{conn, &broken}, err
 			}
-			call := &api.ServeCall{ID: requestID, Hold: 1 << 10, Body: []byte("ash")}
+			call := &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, Body: []byte("ash")}
 			_, err := client.Serve(t.Context(), minion.address, call)
 			is.NoErr(err)
 			broken.Store(true)
@@ -232,7 +232,7 @@
 			})
 			defer close(done)
 			dispatched := atomic.Bool{}
-			call := &api.ServeCall{ID: requestID, Hold: 1 << 10, Late: late, Dispatched: dispatched.Store}
+			call := &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, LateAnswerWindow: late, OnDispatch: dispatched.Store}
 			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(ctx, minion.address, call)
 			is.True(dispatched.Load())
 			if late == 0 {
@@ -275,13 +275,13 @@
 			is := is.New(t)
 			minion := startRawMinion(t, func(int64, *http.Request) (string, bool) { return c.text, false })
 			to := &bufferSink{}
-			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, Hold: 100, Sink: to})
+			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 100, Sink: to})
 			is.NoErr(err)
 			is.True(answer.Streamed)
-			is.Equal(answer.Cut != nil, c.truncated)
+			is.Equal(answer.TruncationErr != nil, c.truncated)
 			is.True(strings.HasPrefix(full, to.String()))
 			is.True(c.truncated || to.String() == full)
-			_, err = NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, Hold: 100})
+			_, err = NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 100})
 			is.True(err != nil)
 			is.Equal(failure.From(err).NotRun, failure.NotRunFalse)
 		})
