--- a/internal/protocol/declaration/check.go
+++ b/internal/protocol/declaration/check.go
@@ -56,11 +56,11 @@
 		}
 		changed[key] = true
 	}
-	return append(violations, Check(Changed(current, set, remove))...)
+	return append(violations, Check(ApplyChange(current, set, remove))...)
 }
 
-// Changed returns the items that result from a change, sorted by key.
-func Changed(current, set []*controlpb.Item, remove []string) []*controlpb.Item {
+// ApplyChange returns the items that result from a change, sorted by key.
+func ApplyChange(current, set []*controlpb.Item, remove []string) []*controlpb.Item {
 	items := make(map[string]*controlpb.Item, len(current)+len(set))
 	for _, item := range current {
 		items[item.Key] = item
--- a/internal/transport/httpapi/feasible.go
+++ b/internal/transport/httpapi/feasible.go
@@ -32,7 +32,7 @@
 		guarantees = guarantees || item.GetCustomer() != nil
 	}
 	if guarantees {
-		violations = append(violations, unmetGuarantees(declaration.Changed(items, set, nil), workers)...)
+		violations = append(violations, unmetGuarantees(declaration.ApplyChange(items, set, nil), workers)...)
 	}
 	if len(violations) == 0 {
 		return nil
