--- a/internal/coordination/replica/core.go
+++ b/internal/coordination/replica/core.go
@@ -190,7 +190,7 @@
 			break
 		}
 		err := c.processReady(ctx, ready)
-		if disk.MayTryAgain(err) {
+		if disk.Retryable(err) {
 			c.deferReady(ready, err)
 			return nil
 		}
@@ -260,11 +260,11 @@
 		}
 		applied[i] = logEntry
 		c.state, results[i] = control.Apply(c.state, logEntry)
-		c.replica.feed.Passed(c.state)
+		c.replica.feed.StateApplied(c.state)
 		c.saving.bytes += int64(len(entry.Data))
 	}
 	commits.Add(int64(len(entries)))
-	c.replica.feed.Applied(applied...)
+	c.replica.feed.EntriesApplied(applied...)
 	c.replica.published.Publish(c.state)
 	for i, entry := range entries {
 		c.completeProposal(entry, results[i])
@@ -283,7 +283,7 @@
 	if err := proto.Unmarshal(entry.Data, logEntry.Command); err != nil {
 		return nil, failure.Wrap(failure.Corrupt, err, "decode command %d", entry.Index)
 	}
-	if !store.Understands(logEntry.Command) {
+	if !store.Supports(logEntry.Command) {
 		return nil, failure.New(failure.CommandTooNew, "command %d was written by a newer version", entry.Index)
 	}
 	return logEntry, nil
--- a/internal/coordination/replica/snapshots.go
+++ b/internal/coordination/replica/snapshots.go
@@ -78,12 +78,12 @@
 func (c *core) saved(meta *consensuspb.SnapshotMeta, err error) {
 	c.saving.running = false
 	if err == nil {
-		err = c.disk.log.Mark(meta)
+		err = c.disk.log.MarkSnapshot(meta)
 	}
 	if err == nil {
-		err = c.disk.log.Compact(c.disk.snapshots.Oldest())
+		err = c.disk.log.Compact(c.disk.snapshots.CompactionIndex())
 	}
-	if disk.MayTryAgain(err) {
+	if disk.Retryable(err) {
 		c.postponeSnapshot(err)
 		return
 	}
@@ -163,7 +163,7 @@
 	defer cancel()
 	request := &peerpb.FetchSnapshot{Index: id.Index, Term: id.Term, Offset: offset}
 	reply, err := r.peers.Call(ctx, from, &peerpb.Call{Body: &peerpb.Call_FetchSnapshot{FetchSnapshot: request}})
-	if failure.Is(err, failure.DiskFailed) || disk.MayTryAgain(err) {
+	if failure.Is(err, failure.DiskFailed) || disk.Retryable(err) {
 		// The disk of the source failed, not this replica's, whose failure would end the
 		// process.
 		return nil, failure.Wrap(failure.Unreachable, err, "%s cannot read its snapshot", from)
@@ -218,8 +218,8 @@
 		c.failure = err
 		return
 	}
-	err = c.disk.log.Mark(s.Meta)
-	if disk.MayTryAgain(err) {
+	err = c.disk.log.MarkSnapshot(s.Meta)
+	if disk.Retryable(err) {
 		return
 	}
 	if err != nil {
@@ -231,7 +231,7 @@
 	c.saving.index, c.saving.bytes = s.Meta.Index, 0
 	c.failCoveredProposals(s.Meta.Index)
 	snapshotsInstalled.Add(1)
-	c.replica.feed.Installed(state)
+	c.replica.feed.SnapshotInstalled(state)
 	c.replica.published.Publish(state)
 }
 
--- a/internal/coordination/replica/storage.go
+++ b/internal/coordination/replica/storage.go
@@ -31,7 +31,7 @@
 	lock      *disk.Lock
 	identity  string
 	log       *wal.Log
-	snapshots *snapshot.Folder
+	snapshots *snapshot.Store
 	// initial is the initial configuration; nil if this replica did not take part in the
 	// bootstrap.
 	initial *consensuspb.Configuration
@@ -46,7 +46,7 @@
 func openStorage(config *Config) (*storage, *recovery, error) {
 	s := &storage{files: config.Files, folder: config.DataFolder}
 	if _, real := config.Files.(disk.OS); real {
-		lock, err := disk.TakeLock(config.DataFolder)
+		lock, err := disk.AcquireLock(config.DataFolder)
 		if err != nil {
 			return nil, nil, err
 		}
@@ -68,7 +68,7 @@
 	if s.identity, err = disk.Identity(s.files, s.folder, instance, used, ulid.Make()); err != nil {
 		return nil, err
 	}
-	log, contents, err := wal.Open(wal.Options{Files: s.files, Folder: s.path(logFolder)})
+	log, contents, err := wal.Open(wal.Options{Files: s.files, Dir: s.path(logFolder)})
 	if err != nil {
 		return nil, err
 	}
@@ -92,12 +92,12 @@
 // missing, it is damaged rather than new.
 func (s *storage) used() (bool, error) {
 	for _, folder := range []string{logFolder, snapshotFolder} {
-		if err := s.files.MakeFolder(s.path(folder)); err != nil {
-			return false, disk.Fault(err, "make %s", s.path(folder))
+		if err := s.files.MkdirAll(s.path(folder)); err != nil {
+			return false, disk.WrapError(err, "make %s", s.path(folder))
 		}
 		names, err := s.files.Names(s.path(folder))
 		if err != nil {
-			return false, disk.Fault(err, "list %s", s.path(folder))
+			return false, disk.WrapError(err, "list %s", s.path(folder))
 		}
 		if len(names) > 0 {
 			return true, nil
@@ -112,17 +112,17 @@
 		return nil, err
 	}
 	r := &recovery{state: store.New()}
-	r.consensus.Hard = contents.Hard
+	r.consensus.Hard = contents.HardState
 	if newest == nil {
 		r.consensus.Entries = contents.Entries
 		return r, nil
 	}
 	if newest.Meta.Index > contents.Snapshot.GetIndex() {
 		// The process crashed between making the snapshot durable and marking it.
-		if err := s.log.Mark(newest.Meta); err != nil {
+		if err := s.log.MarkSnapshot(newest.Meta); err != nil {
 			return nil, err
 		}
-		contents.Mark(newest.Meta)
+		contents.MarkSnapshot(newest.Meta)
 	}
 	if r.state, err = decodeState(newest.Data); err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	if err := s.snapshots.Save(&snapshot.Snapshot{Meta: bootstrapped.Snapshot, Data: data}); err != nil {
 		return err
 	}
-	return s.log.Mark(bootstrapped.Snapshot)
+	return s.log.MarkSnapshot(bootstrapped.Snapshot)
 }
 
 func (s *storage) readInitial() error {
--- a/internal/state/snapshot/transfer.go
+++ b/internal/state/snapshot/transfer.go
@@ -21,26 +21,26 @@
 // ReadChunk returns up to maxBytes of a snapshot file from an offset in bytes. It fails
 // with NotFound if the snapshot was removed because of newer ones; the receiver then starts
 // over.
-func (f *Folder) ReadChunk(id ID, offset int64, maxBytes int) (*Chunk, error) {
+func (f *Store) ReadChunk(id ID, offset int64, maxBytes int) (*Chunk, error) {
 	path := f.file(id, fileSuffix)
 	file, err := f.files.Open(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, failure.New(failure.NotFound, "snapshot %d is no longer kept", id.Index)
 	}
 	if err != nil {
-		return nil, disk.Fault(err, "open %s", path)
+		return nil, disk.WrapError(err, "open %s", path)
 	}
 	defer file.Close()
 	total, err := file.Size()
 	if err != nil {
-		return nil, disk.Fault(err, "size of %s", path)
+		return nil, disk.WrapError(err, "size of %s", path)
 	}
 	if offset < 0 || offset > total {
 		return nil, failure.New(failure.BadRequest, "offset %d of a snapshot of %d bytes", offset, total)
 	}
 	data := make([]byte, min(int64(maxBytes), total-offset))
 	if _, err := file.ReadAt(data, offset); err != nil && !errors.Is(err, io.EOF) {
-		return nil, disk.Fault(err, "read %s", path)
+		return nil, disk.WrapError(err, "read %s", path)
 	}
 	return &Chunk{ID: id, Total: total, Offset: offset, Data: data}, nil
 }
@@ -49,14 +49,14 @@
 // an interrupted transfer resumes where it stopped, even after a restart. Nothing is synced
 // or used before Finish has verified the whole file.
 type Incoming struct {
-	folder *Folder
+	store  *Store
 	id     ID
 	file   disk.File
 	offset int64
 }
 
 // Receive starts or resumes a transfer and removes partial files of other snapshots.
-func (f *Folder) Receive(id ID) (*Incoming, error) {
+func (f *Store) Receive(id ID) (*Incoming, error) {
 	if err := f.removePartials(id); err != nil {
 		return nil, err
 	}
@@ -66,19 +66,19 @@
 		file, err = f.files.Create(path)
 	}
 	if err != nil {
-		return nil, disk.Fault(err, "open %s", path)
+		return nil, disk.WrapError(err, "open %s", path)
 	}
 	offset, err := file.Size()
 	if err != nil {
 		file.Close()
-		return nil, disk.Fault(err, "size of %s", path)
+		return nil, disk.WrapError(err, "size of %s", path)
 	}
-	return &Incoming{folder: f, id: id, file: file, offset: offset}, nil
+	return &Incoming{store: f, id: id, file: file, offset: offset}, nil
 }
 
 // Resumable returns the id of a transfer that was started and not finished; false if there
 // is none.
-func (f *Folder) Resumable() (ID, bool) {
+func (f *Store) Resumable() (ID, bool) {
 	names, err := f.files.Names(f.path)
 	if err != nil {
 		return ID{}, false
@@ -91,10 +91,10 @@
 	return ID{}, false
 }
 
-func (f *Folder) removePartials(except ID) error {
+func (f *Store) removePartials(except ID) error {
 	names, err := f.files.Names(f.path)
 	if err != nil {
-		return disk.Fault(err, "list %s", f.path)
+		return disk.WrapError(err, "list %s", f.path)
 	}
 	for _, name := range names {
 		id, ok := parseName(name, partialSuffix)
@@ -102,7 +102,7 @@
 			continue
 		}
 		if err := f.files.Remove(f.file(id, partialSuffix)); err != nil {
-			return disk.Fault(err, "remove %s", name)
+			return disk.WrapError(err, "remove %s", name)
 		}
 	}
 	return nil
@@ -117,7 +117,7 @@
 		return false, failure.New(failure.WrongAnswer, "chunk of snapshot %d at offset %d, expected snapshot %d at offset %d", c.ID.Index, c.Offset, in.id.Index, in.offset)
 	}
 	if _, err := in.file.Write(c.Data); err != nil {
-		return false, disk.Fault(err, "write a chunk")
+		return false, disk.WrapError(err, "write a chunk")
 	}
 	in.offset += int64(len(c.Data))
 	return in.offset == c.Total, nil
@@ -127,10 +127,10 @@
 // snapshot. A file that fails verification is removed, so that the transfer starts over.
 func (in *Incoming) Finish() (*Snapshot, error) {
 	defer in.file.Close()
-	f, path := in.folder, in.folder.file(in.id, partialSuffix)
+	f, path := in.store, in.store.file(in.id, partialSuffix)
 	content, err := disk.ReadAll(in.file)
 	if err != nil {
-		return nil, disk.Fault(err, "read %s", path)
+		return nil, disk.WrapError(err, "read %s", path)
 	}
 	s, err := decode(path, content)
 	if err == nil && idOf(s.Meta) != in.id {
@@ -141,7 +141,7 @@
 		return nil, failure.Wrap(failure.WrongAnswer, err, "received snapshot")
 	}
 	if err := in.install(path); err != nil {
-		return nil, disk.Fault(err, "keep %s", path)
+		return nil, disk.WrapError(err, "keep %s", path)
 	}
 	return s, f.add(in.id)
 }
@@ -150,10 +150,10 @@
 	if err := in.file.Sync(); err != nil {
 		return err
 	}
-	if err := in.folder.files.Rename(path, in.folder.file(in.id, fileSuffix)); err != nil {
+	if err := in.store.files.Rename(path, in.store.file(in.id, fileSuffix)); err != nil {
 		return err
 	}
-	return in.folder.files.SyncDir(in.folder.path)
+	return in.store.files.SyncDir(in.store.path)
 }
 
 // Close closes the partial file and keeps it, so that the transfer can be resumed.
