--- a/internal/standin/tasks/table_test.go
+++ b/internal/standin/tasks/table_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// table is one that announced itself at second zero.
+// table returns a table that announced itself at second zero.
 func table(options tasks.Options) *tasks.Table {
 	options.Incarnation, options.Speed = 7, 1
 	t := tasks.New(options)
@@ -31,8 +31,8 @@
 	return t
 }
 
-// A late, repeated or overtaken command must not start what has been given up.
-func TestCommandsThatAreRefused(t *testing.T) {
+// A delayed, repeated or reordered command must not start a run that has been given up.
+func TestRefusedCommands(t *testing.T) {
 	cases := []struct {
 		name   string
 		before func(t *tasks.Table)
@@ -41,10 +41,10 @@
 		want   failure.Code
 	}{
 		{name: "in time", at: 9.9},
-		{name: "held back beyond its lease", at: 10.1, want: failure.StaleEpoch},
-		{name: "for another start of the worker", change: func(c *api.TaskCommand) { c.Incarnation = 6 }, want: failure.StaleEpoch},
-		{name: "of an announcement never made", change: func(c *api.TaskCommand) { c.Announced = 2 }, want: failure.StaleEpoch},
-		{name: "overtaken by its stop", before: func(t *tasks.Table) { _, _ = t.Stop(at(0), command("j", 1)) }, want: failure.StaleEpoch},
+		{name: "delayed beyond its lease", at: 10.1, want: failure.StaleEpoch},
+		{name: "for another incarnation of the worker", change: func(c *api.TaskCommand) { c.Incarnation = 6 }, want: failure.StaleEpoch},
+		{name: "for an announcement that was never sent", change: func(c *api.TaskCommand) { c.Announced = 2 }, want: failure.StaleEpoch},
+		{name: "reordered after its stop", before: func(t *tasks.Table) { _, _ = t.Stop(at(0), command("j", 1)) }, want: failure.StaleEpoch},
 		{name: "after the stop of its run", before: func(t *tasks.Table) {
 			_, _ = t.Reserve(at(0), command("j", 1, 0))
 			_, _ = t.Stop(at(0), command("j", 1))
@@ -54,8 +54,8 @@
 			_, _ = t.Start(at(0), command("j", 1, 0))
 			t.Take(at(5), 1, &api.AnnounceReply{LeaseMs: 10_000, Forget: []api.TaskRef{{Job: "j", Epoch: 1}}})
 		}, at: 5, want: failure.StaleEpoch},
-		{name: "for an accelerator that is held", before: func(t *tasks.Table) { _, _ = t.Reserve(at(0), command("other", 1, 0)) }, want: failure.Overloaded},
-		{name: "the same again", before: func(t *tasks.Table) { _, _ = t.Reserve(at(0), command("j", 1, 0)) }},
+		{name: "for an accelerator in use", before: func(t *tasks.Table) { _, _ = t.Reserve(at(0), command("other", 1, 0)) }, want: failure.Overloaded},
+		{name: "repeated", before: func(t *tasks.Table) { _, _ = t.Reserve(at(0), command("j", 1, 0)) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -79,9 +79,9 @@
 	}
 }
 
-// A task that nobody renews ends with its lease; a renewal counts from when the
-// announcement was sent.
-func TestLeaseEnds(t *testing.T) {
+// A task whose lease is not renewed ends with the lease; a renewal counts from when
+// the announcement was sent, not from when its reply arrived.
+func TestLeaseExpires(t *testing.T) {
 	is := is.New(t)
 	worker := table(tasks.Options{Overrun: 100})
 	_, _ = worker.Reserve(at(0), command("j", 1, 0))
@@ -93,7 +93,7 @@
 	is.Equal(worker.Reports(at(14.1))[0].CheckpointedMs, int64(14_000))
 }
 
-// A task that uses more than it declared is stopped by the worker.
+// A task that uses more memory than it declared is stopped by the worker.
 func TestMemoryGuard(t *testing.T) {
 	is := is.New(t)
 	worker := table(tasks.Options{TaskMemoryMB: 300})
@@ -105,8 +105,8 @@
 	is.Equal(report.MemoryMB, uint64(300))
 }
 
-// A throttled task keeps what it has done and goes on slower; the stop that
-// comes after answers with all of it, each time it is asked.
+// A throttled task keeps its progress and continues more slowly; a later stop answers
+// with all of the work done, also when it is repeated.
 func TestThrottleAndStop(t *testing.T) {
 	is := is.New(t)
 	worker := table(tasks.Options{})
--- a/internal/standin/tasks/task.go
+++ b/internal/standin/tasks/task.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	wholeSpeed = 100
-	// guardAfter is the share of its run time after which a task that uses more
-	// memory than declared is found out.
-	guardAfter = 0.1
+	fullSpeedPercent = 100
+	// memoryCheckAfter is the share of its run time after which the worker detects that
+	// a task uses more memory than declared.
+	memoryCheckAfter = 0.1
 )
 
-// task is one run. Its work is counted in declared milliseconds.
+// task is one run. Its work is counted in milliseconds of the declared run time.
 type task struct {
 	options  Options
 	command  api.TaskCommand
 	report   api.TaskReport
 	run      *Run
 	deadline time.Time
-	// done is the work up to since, which then goes on at rate.
+	// done is the work completed until since; from then on it grows by rate per
+	// millisecond.
 	done  float64
 	since time.Time
 	rate  float64
@@ -50,9 +51,9 @@
 	return &api.TaskAnswer{Incarnation: t.options.Incarnation, Phase: t.report.Phase, CheckpointedMs: t.report.CheckpointedMs}
 }
 
-// answerIfKept refuses a run that failed or was stopped: it must not look as if
-// this member of the gang could still run.
-func (t *task) answerIfKept() (*api.TaskAnswer, *failure.Error) {
+// answerUnlessEnded refuses a run that failed or was stopped: the answer must not
+// suggest that this member of the gang can still run.
+func (t *task) answerUnlessEnded() (*api.TaskAnswer, *failure.Error) {
 	if t.live() || t.report.Phase == api.PhaseCompleted {
 		return t.answer(), nil
 	}
@@ -82,21 +83,22 @@
 func (t *task) throttle(now time.Time, percent uint32) {
 	t.done = t.doneAt(now)
 	t.since = now
-	t.rate = t.options.Speed * float64(percent) / wholeSpeed
+	t.rate = t.options.Speed * float64(percent) / fullSpeedPercent
 }
 
 func (t *task) doneAt(now time.Time) float64 {
 	return t.done + float64(now.Sub(t.since))/float64(time.Millisecond)*t.rate
 }
 
-// needed is the work after which the run ends, by itself or by its guard.
-func (t *task) needed() float64 {
+// workToEnd returns the work after which the run ends, because it is complete or because
+// the worker detects that it uses too much memory.
+func (t *task) workToEnd() float64 {
 	needed := float64(t.command.RunTimeMs)
 	if t.options.Overrun > 0 {
 		needed *= t.options.Overrun
 	}
 	if t.overMemory() {
-		needed *= guardAfter
+		needed *= memoryCheckAfter
 	}
 	return needed
 }
@@ -106,7 +108,7 @@
 }
 
 func (t *task) endsAt() time.Time {
-	left := max((t.needed()-t.done)/t.rate, 0)
+	left := max((t.workToEnd()-t.done)/t.rate, 0)
 	return t.since.Add(time.Duration(left * float64(time.Millisecond)))
 }
 
@@ -140,7 +142,7 @@
 	case t.overMemory():
 		t.fail(failure.MemoryExceeded, "used more memory than declared")
 	case t.options.FailAll:
-		t.fail(failure.TaskFailed, "this worker fails everything")
+		t.fail(failure.TaskFailed, "the worker is configured to fail all tasks")
 	default:
 		t.report.Phase = api.PhaseCompleted
 	}
@@ -152,7 +154,7 @@
 	t.report.Detail = detail
 }
 
-// checkpoint notes the newest checkpoint that a running task has made of itself.
+// checkpoint updates the report with the newest periodic checkpoint of a running task.
 func (t *task) checkpoint(now time.Time) {
 	every := t.options.CheckpointEvery.Milliseconds()
 	if every == 0 || !t.command.Checkpoint || t.report.Phase != api.PhaseRunning {
@@ -162,8 +164,8 @@
 	t.report.CheckpointedMs = max(t.report.CheckpointedMs, done-done%every)
 }
 
-// stop ends a live run, with a checkpoint where the work allows one. The report
-// keeps it, so that a repeated stop is answered alike.
+// stop ends a live run, with a checkpoint if the task is checkpointable. The report
+// keeps the checkpoint, so that a repeated stop gets the same answer.
 func (t *task) stop(now time.Time, checkpoint bool) {
 	if !t.live() {
 		return
