--- a/internal/standin/loopback/loopback_test.go
+++ b/internal/standin/loopback/loopback_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-func TestReservedAddressesAreFreeAndDiffer(t *testing.T) {
+func TestReservedAddressesAreFreeAndDistinct(t *testing.T) {
 	is := is.New(t)
 	addresses, err := Reserve(20)
 	is.NoErr(err)
