--- a/internal/standin/standincmd/main.go
+++ b/internal/standin/standincmd/main.go
@@ -1,4 +1,4 @@
-// Package standincmd is the command line of the stand-ins.
+// Package standincmd implements the command line of pinewinch-standin.
 package standincmd
 
 import (
@@ -24,7 +24,7 @@
 	"pinewinch.example/pinewinch/internal/standin/loopback"
 )
 
-// Main runs one stand-in command and gives the exit code.
+// Main runs one command of pinewinch-standin and returns the exit code.
 func Main(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -42,31 +42,31 @@
 }
 
 type common struct {
-	// spread has each upstream begin at another instance.
+	// spread makes upstreams begin at different instances.
 	spread       bool
 	announcement api.Announcement
 	servers      string
 	token        string
-	record       string
+	recordPath   string
 	count        int
-	done         *standin.Record
+	record       *standin.Record
 }
 
 func commonFlags(name string) (*flag.FlagSet, *common) {
 	c := &common{}
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.StringVar(&c.servers, "servers", "http://127.0.0.1:7100", "instances, separated by commas")
-	flags.StringVar(&c.record, "record", "", "file that takes a line for each thing done")
-	flags.StringVar(&c.token, "token", "", "token that upstreams show")
-	flags.StringVar(&c.announcement.ID, "id", name, "name of the first; others get a number")
+	flags.StringVar(&c.recordPath, "record", "", "file that receives a line for each completed task or started request")
+	flags.StringVar(&c.token, "token", "", "token that upstreams authenticate with")
+	flags.StringVar(&c.announcement.ID, "id", name, "prefix of the upstreams' ids, which end in -1, -2, ...")
 	flags.StringVar(&c.announcement.DataCentre, "data-centre", "dc1", "data centre")
 	flags.StringVar(&c.announcement.Rack, "rack", "rack1", "rack")
-	flags.BoolVar(&c.spread, "spread", false, "begin at another instance each")
-	flags.IntVar(&c.count, "count", 1, "how many to run in this process")
+	flags.BoolVar(&c.spread, "spread", false, "begin at a different instance for each upstream")
+	flags.IntVar(&c.count, "count", 1, "number of upstreams to run in this process")
 	return flags, c
 }
 
-func (c *common) each(ctx context.Context, run func(ctx context.Context, announcement api.Announcement, listener net.Listener)) error {
+func (c *common) runEach(ctx context.Context, run func(ctx context.Context, announcement api.Announcement, listener net.Listener)) error {
 	if err := c.openRecord(); err != nil {
 		return err
 	}
@@ -86,19 +86,20 @@
 }
 
 func (c *common) openRecord() error {
-	if c.record == "" {
+	if c.recordPath == "" {
 		return nil
 	}
-	file, err := os.OpenFile(c.record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(c.recordPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return failure.Wrap(failure.BadSettings, err, "record")
 	}
-	c.done = standin.NewRecord(file)
+	c.record = standin.NewRecord(file)
 	return nil
 }
 
-// serverList gives the instances in the order that the upstream tries them.
-// With spread it begins at one drawn by its id, as a balancer would have it.
+// serverList returns the instances in the order in which the upstream tries them. With
+// spread the first one is chosen by a hash of the upstream's id, to distribute the
+// upstreams as a load balancer does.
 func (c *common) serverList(id string) []string {
 	servers := strings.Split(c.servers, ",")
 	if !c.spread {
@@ -111,26 +112,26 @@
 func workerCommand() *ffcli.Command {
 	flags, c := commonFlags("worker")
 	options := standin.WorkerOptions{}
-	accelerators := flags.Uint("accelerators", 8, "accelerators of each")
-	cores := flags.Uint("cores", 32, "cores of each")
-	memory := flags.Uint64("memory-mb", 128<<10, "memory of each")
+	accelerators := flags.Uint("accelerators", 8, "accelerators of each worker")
+	cores := flags.Uint("cores", 32, "cores of each worker")
+	memory := flags.Uint64("memory-mb", 128<<10, "memory of each worker in MB")
 	flags.Float64Var(&options.Tasks.Speed, "speed", 1, "divides declared run times")
 	flags.BoolVar(&options.Tasks.FailAll, "fail-all", false, "fail every task")
-	flags.BoolVar(&options.Tasks.IgnoreStop, "ignore-stop", false, "go on after a stop until the lease ends")
-	flags.DurationVar(&options.Tasks.CheckpointEvery, "checkpoint-every", 0, "work between the checkpoints of a running task; 0 for none")
-	flags.Uint64Var(&options.Tasks.TaskMemoryMB, "task-memory-mb", 0, "memory that each task really uses; 0 is what it declared")
-	flags.BoolVar(&options.Tasks.KeepRuns, "keep-runs", false, "keep the record of every run, served as /runs")
-	flags.Float64Var(&options.Tasks.Overrun, "overrun", 1, "multiplies run times")
+	flags.BoolVar(&options.Tasks.IgnoreStop, "ignore-stop", false, "ignore stop commands; tasks run until their leases expire")
+	flags.DurationVar(&options.Tasks.CheckpointEvery, "checkpoint-every", 0, "work between periodic checkpoints of a running task; 0 for none")
+	flags.Uint64Var(&options.Tasks.TaskMemoryMB, "task-memory-mb", 0, "actual memory use of each task in MB; 0 for the declared memory")
+	flags.BoolVar(&options.Tasks.KeepRuns, "keep-runs", false, "keep a record of every run, served at /runs")
+	flags.Float64Var(&options.Tasks.Overrun, "overrun", 1, "factor by which tasks exceed their declared run times")
 	return &ffcli.Command{Name: "worker", FlagSet: flags, Exec: func(ctx context.Context, _ []string) error {
 		c.announcement.Accelerators = uint32(*accelerators)
 		c.announcement.Cores = uint32(*cores)
 		c.announcement.MemoryMB = *memory
-		return c.each(ctx, func(ctx context.Context, announcement api.Announcement, listener net.Listener) {
+		return c.runEach(ctx, func(ctx context.Context, announcement api.Announcement, listener net.Listener) {
 			own := options
 			own.Announcement = announcement
 			own.Servers = c.serverList(announcement.ID)
 			own.Token = c.token
-			own.Record = c.done
+			own.Record = c.record
 			worker := standin.NewWorker(own)
 			go func() { _ = http.Serve(listener, worker.Handler()) }()
 			worker.Run(ctx)
@@ -141,19 +142,19 @@
 func minionCommand() *ffcli.Command {
 	flags, c := commonFlags("minion")
 	options := standin.MinionOptions{}
-	slots := flags.Uint("slots", 8, "slots of each")
+	slots := flags.Uint("slots", 8, "slots of each minion")
 	services := flags.String("services", "", "services, separated by commas")
-	flags.DurationVar(&options.Delay, "delay", 5*time.Millisecond, "time of one request")
-	flags.Uint64Var(&options.CutEvery, "cut-every", 0, "cut each nth answer")
+	flags.DurationVar(&options.Delay, "delay", 5*time.Millisecond, "service time of one request")
+	flags.Uint64Var(&options.CutEvery, "cut-every", 0, "truncate each nth answer; 0 for none")
 	return &ffcli.Command{Name: "minion", FlagSet: flags, Exec: func(ctx context.Context, _ []string) error {
 		c.announcement.Slots = uint32(*slots)
 		c.announcement.Services = strings.Split(*services, ",")
-		return c.each(ctx, func(ctx context.Context, announcement api.Announcement, listener net.Listener) {
+		return c.runEach(ctx, func(ctx context.Context, announcement api.Announcement, listener net.Listener) {
 			own := options
 			own.Announcement = announcement
 			own.Servers = c.serverList(announcement.ID)
 			own.Token = c.token
-			own.Record = c.done
+			own.Record = c.record
 			minion := standin.NewMinion(own)
 			go func() { _ = http.Serve(listener, minion.Handler()) }()
 			minion.Run(ctx)
@@ -161,10 +162,10 @@
 	}}
 }
 
-// addressesCommand prints free addresses for a cluster, one a line.
+// addressesCommand prints free addresses for a cluster, one per line.
 func addressesCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("addresses", flag.ContinueOnError)
-	count := flags.Int("count", 1, "how many")
+	count := flags.Int("count", 1, "number of addresses")
 	return &ffcli.Command{Name: "addresses", FlagSet: flags, Exec: func(context.Context, []string) error {
 		addresses, err := loopback.Reserve(*count)
 		if err != nil {
