--- a/internal/testcerts/testcerts.go
+++ b/internal/testcerts/testcerts.go
@@ -1,4 +1,4 @@
-// Package testcerts makes certificates for tests and the stand-ins.
+// Package testcerts issues certificates for tests and the stand-ins.
 package testcerts
 
 import (
@@ -17,13 +17,13 @@
 
 const validity = 24 * time.Hour
 
-// Authority signs certificates.
+// Authority is a certificate authority.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// New makes an authority and writes its certificate as NAME.pem.
+// New creates an authority and writes its certificate to NAME.pem in the folder.
 func New(folder, name string) (*Authority, error) {
 	a := &Authority{}
 	template := template(name)
@@ -44,15 +44,16 @@
 	return a, write(filepath.Join(folder, name+".pem"), "CERTIFICATE", der)
 }
 
-// Issue writes NAME.pem and NAME.key, good for that name and the addresses.
+// Issue writes a certificate that is valid for the name and the addresses, and its key,
+// to NAME.pem and NAME.key in the folder.
 func (a *Authority) Issue(folder, name string, addresses ...net.IP) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return err
 	}
-	wanted := template(name)
-	wanted.IPAddresses = addresses
-	der, err := x509.CreateCertificate(rand.Reader, wanted, a.certificate, &key.PublicKey, a.key)
+	leaf := template(name)
+	leaf.IPAddresses = addresses
+	der, err := x509.CreateCertificate(rand.Reader, leaf, a.certificate, &key.PublicKey, a.key)
 	if err != nil {
 		return err
 	}
