--- a/internal/standin/announcer.go
+++ b/internal/standin/announcer.go
@@ -1,5 +1,5 @@
-// Package standin holds small stand-ins for a worker and a minion. They speak
-// only the published upstream protocol, and can be told to misbehave.
+// Package standin implements stand-in workers and minions for tests. They use
+// only the published upstream protocol and can be configured to misbehave.
 package standin
 
 import (
@@ -16,66 +16,67 @@
 
 const (
 	announceTimeout = 2 * time.Second
-	// retryAnnounce is the pause before the next instance is tried.
-	retryAnnounce = 100 * time.Millisecond
+	// retryInterval is the delay before the next instance is tried.
+	retryInterval = 100 * time.Millisecond
 )
 
-// announcer keeps an upstream known: it announces to one instance after
-// another, until one answers that is not cut off, and again when the answer says so.
+// announcer keeps an upstream registered. It announces to one instance at a time,
+// at the interval that the reply gives, and switches to the next instance after an
+// error or when the reply says that the instance is partitioned.
 type announcer struct {
 	path    string
 	servers []string
-	// token is the upstreams' token, where the instances want one.
+	// token is the upstreams' token, if the instances require one.
 	token string
 	next  int
-	// muted drops announcements and their answers, as a cut network does.
-	muted atomic.Bool
-	// only is the one server that can be reached; nil for all.
-	only atomic.Pointer[string]
-	// kick asks for an announcement now: a task ended.
-	kick chan struct{}
+	// isolated drops announcements and replies, as a network partition does.
+	isolated atomic.Bool
+	// onlyServer is the only reachable server; nil if all are reachable.
+	onlyServer atomic.Pointer[string]
+	// wake requests an immediate announcement, for example when a task ended.
+	wake chan struct{}
 }
 
 func newAnnouncer(path string, servers []string, token string) *announcer {
-	return &announcer{path: path, servers: servers, token: token, kick: make(chan struct{}, 1)}
+	return &announcer{path: path, servers: servers, token: token, wake: make(chan struct{}, 1)}
 }
 
-func (a *announcer) hurry() {
+func (a *announcer) announceNow() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
 // run announces until ctx ends.
-func (a *announcer) run(ctx context.Context, describe func() *api.Announcement, take func(*api.Announcement, *api.AnnounceReply)) {
+func (a *announcer) run(ctx context.Context, describe func() *api.Announcement, handle func(*api.Announcement, *api.AnnounceReply)) {
 	for {
-		pause := retryAnnounce
+		pause := retryInterval
 		announcement := describe()
-		if reply, err := a.once(ctx, announcement); err == nil && !a.muted.Load() {
-			take(announcement, reply)
+		if reply, err := a.announce(ctx, announcement); err == nil && !a.isolated.Load() {
+			handle(announcement, reply)
 			pause = time.Duration(reply.NextMs) * time.Millisecond
 			if reply.TryOther {
-				a.turn()
+				a.switchServer()
 			}
 		} else {
-			a.turn()
+			a.switchServer()
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.kick:
+		case <-a.wake:
 		case <-time.After(pause):
 		}
 	}
 }
 
-// turn makes the next instance the one that hears the upstream.
-func (a *announcer) turn() { a.next = (a.next + 1) % len(a.servers) }
+// switchServer makes the next instance the one that receives announcements.
+func (a *announcer) switchServer() { a.next = (a.next + 1) % len(a.servers) }
 
-func (a *announcer) once(ctx context.Context, announcement *api.Announcement) (*api.AnnounceReply, error) {
-	if a.muted.Load() {
-		return nil, failure.New(failure.Unreachable, "cut off")
+func (a *announcer) announce(ctx context.Context, announcement *api.Announcement) (*api.AnnounceReply, error) {
+	if a.isolated.Load() {
+		return nil, failure.New(failure.Unreachable, "the upstream is isolated")
 	}
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
@@ -84,7 +85,7 @@
 		return nil, err
 	}
 	server := a.servers[a.next]
-	if only := a.only.Load(); only != nil {
+	if only := a.onlyServer.Load(); only != nil {
 		server = *only
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, server+a.path, bytes.NewReader(body))
@@ -98,7 +99,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return nil, failure.Ran(failure.UpstreamFailed, failure.NotRunUnknown, nil, "announcement answered %s", response.Status)
+		return nil, failure.Ran(failure.UpstreamFailed, failure.NotRunUnknown, nil, "announcement failed with status %s", response.Status)
 	}
 	reply := &api.AnnounceReply{}
 	return reply, json.NewDecoder(response.Body).Decode(reply)
--- a/internal/standin/announcer_test.go
+++ b/internal/standin/announcer_test.go
@@ -12,15 +12,15 @@
 	"pinewinch.example/pinewinch/internal/protocol/api"
 )
 
-// An upstream that stays with an instance which is cut off: it turns to the next one
-// when the answer asks for that.
-func TestAnnouncerTurnsFromAnInstanceThatIsCutOff(t *testing.T) {
+// Guards against an upstream that keeps announcing to a partitioned instance: it must
+// switch to the next instance when the reply asks for that.
+func TestAnnouncerSwitchesFromIsolatedInstance(t *testing.T) {
 	is := is.New(t)
-	heard := make(chan string)
+	received := make(chan string)
 	instance := func(name string, reply api.AnnounceReply) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			select {
-			case heard <- name:
+			case received <- name:
 			case <-r.Context().Done():
 			}
 			_ = json.NewEncoder(w).Encode(reply)
@@ -37,7 +37,7 @@
 		a.run(ctx, func() *api.Announcement { return &api.Announcement{} }, func(*api.Announcement, *api.AnnounceReply) {})
 	}()
 	for _, name := range []string{"cut off", "well", "well"} {
-		is.Equal(<-heard, name)
+		is.Equal(<-received, name)
 	}
 	cancel()
 	<-ended
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -8,42 +8,43 @@
 	"pinewinch.example/pinewinch/internal/standin/tasks"
 )
 
-// Isolate cuts the worker off: it announces nothing, and commands are held until
-// Rejoin and taken then, late. Its tasks go on until their leases end.
+// Isolate partitions the worker from all instances: it sends no announcements, and
+// commands are held and executed late, after Reconnect. Its tasks run until their
+// leases expire.
 func (w *Worker) Isolate() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.announcer.muted.Store(true)
+	w.announcer.isolated.Store(true)
 	select {
-	case <-w.passage:
-		w.passage = make(chan struct{})
+	case <-w.reachable:
+		w.reachable = make(chan struct{})
 	default:
 	}
 }
 
-// Strand leaves the worker on an island with one instance: it announces itself to
-// that one alone, and commands are held until Rejoin.
-func (w *Worker) Strand(server string) {
+// IsolateExcept partitions the worker from all instances but one: it announces itself
+// only to that instance, and commands are held until Reconnect.
+func (w *Worker) IsolateExcept(server string) {
 	w.Isolate()
-	w.announcer.only.Store(&server)
-	w.announcer.muted.Store(false)
+	w.announcer.onlyServer.Store(&server)
+	w.announcer.isolated.Store(false)
 }
 
-// Rejoin ends an isolation.
-func (w *Worker) Rejoin() {
+// Reconnect ends an isolation.
+func (w *Worker) Reconnect() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.announcer.muted.Store(false)
-	w.announcer.only.Store(nil)
+	w.announcer.isolated.Store(false)
+	w.announcer.onlyServer.Store(nil)
 	select {
-	case <-w.passage:
+	case <-w.reachable:
 	default:
-		close(w.passage)
+		close(w.reachable)
 	}
 }
 
-// Crash ends the worker and its tasks at once, without a word. Its record stays;
-// another Worker with a later incarnation takes its place.
+// Crash ends the worker and its tasks at once, without notice to any instance. Its
+// record of runs stays available; another Worker with a later incarnation replaces it.
 func (w *Worker) Crash() {
 	w.Isolate()
 	w.mu.Lock()
@@ -51,14 +52,14 @@
 	w.table.Crash(time.Now())
 }
 
-// FailAll makes every task that comes from now on fail, or not.
+// FailAll sets whether tasks that arrive from now on fail.
 func (w *Worker) FailAll(fail bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.table.FailAll(fail)
 }
 
-// Runs gives the record of every run that this worker was asked for.
+// Runs returns the record of every run that this worker was asked to reserve.
 func (w *Worker) Runs() []tasks.Run {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -74,8 +75,8 @@
 	_ = json.NewEncoder(rw).Encode(w.Runs())
 }
 
-func (w *Worker) passageNow() <-chan struct{} {
+func (w *Worker) reachableSignal() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.passage
+	return w.reachable
 }
--- a/internal/standin/minion.go
+++ b/internal/standin/minion.go
@@ -19,23 +19,24 @@
 	Announcement api.Announcement
 	Servers      []string
 	Token        string
-	// Record takes a line for each request that was begun; nil for none.
+	// Record receives a line for each request that was started; nil for none.
 	Record *Record
-	// Delay is how long one request takes.
+	// Delay is the service time of one request.
 	Delay time.Duration
-	// CutEvery cuts each nth answer in the middle; 0 cuts none.
+	// CutEvery truncates each nth answer in the middle; 0 truncates none.
 	CutEvery uint64
-	// ChunkEvery sends each nth answer in chunks, without a length.
+	// ChunkEvery sends each nth answer in chunks, without a Content-Length.
 	ChunkEvery uint64
-	// SwapEvery gives each nth answer the identity of another request.
+	// SwapEvery gives each nth answer the id of another request.
 	SwapEvery uint64
-	// StallEvery holds each nth answer back for Stall.
+	// StallEvery delays each nth answer by Stall.
 	StallEvery uint64
 	Stall      time.Duration
 }
 
-// every tells whether a misbehaviour is due at this request.
-func every(nth, number uint64) bool { return nth > 0 && number%nth == 0 }
+// isNth reports whether a fault that is injected at each nth request is due at this
+// request.
+func isNth(nth, number uint64) bool { return nth > 0 && number%nth == 0 }
 
 // Minion is a stand-in minion. It records every execution by request id.
 type Minion struct {
@@ -64,17 +65,17 @@
 	m.announcer.run(ctx, m.describe, func(*api.Announcement, *api.AnnounceReply) {})
 }
 
-// Leave announces that no new work should come.
+// Leave announces that the minion accepts no new work.
 func (m *Minion) Leave() { m.setLeaving(true) }
 
-// Return announces that work may come again.
+// Return announces that the minion accepts work again.
 func (m *Minion) Return() { m.setLeaving(false) }
 
 func (m *Minion) setLeaving(leaving bool) {
 	m.mu.Lock()
 	m.leaving = leaving
 	m.mu.Unlock()
-	m.announcer.hurry()
+	m.announcer.announceNow()
 }
 
 func (m *Minion) describe() *api.Announcement {
@@ -88,7 +89,7 @@
 	return &announcement
 }
 
-// Handler serves requests, and the record of executions under /runs.
+// Handler serves requests, and the number of executions of each request under /runs.
 func (m *Minion) Handler() http.Handler {
 	routes := http.NewServeMux()
 	routes.HandleFunc("POST "+api.PathServe+"{service}", m.serve)
@@ -103,18 +104,18 @@
 		writeFailure(w, failure.Wrap(failure.BadRequest, err, "body"))
 		return
 	}
-	number, ok := m.begin(id)
+	number, ok := m.acquireSlot(id)
 	if !ok {
-		writeFailure(w, failure.New(failure.Overloaded, "every slot is taken"))
+		writeFailure(w, failure.New(failure.Overloaded, "all slots are in use"))
 		return
 	}
-	defer m.finish()
+	defer m.releaseSlot()
 	time.Sleep(m.options.Delay)
-	if every(m.options.StallEvery, number) {
+	if isNth(m.options.StallEvery, number) {
 		time.Sleep(m.options.Stall)
 	}
 	answer := fmt.Sprintf("%s did %s for %s: %s\n", m.options.Announcement.ID, r.PathValue("service"), id, body)
-	if every(m.options.SwapEvery, number) {
+	if isNth(m.options.SwapEvery, number) {
 		id = "another"
 	}
 	w.Header().Set(api.HeaderRequestID, id)
@@ -122,10 +123,10 @@
 	m.write(w, answer, number)
 }
 
-// write sends the answer with its length or in chunks, whole or cut.
+// write sends the answer with its length or in chunks, complete or truncated.
 func (m *Minion) write(w http.ResponseWriter, answer string, number uint64) {
-	cut := every(m.options.CutEvery, number)
-	if every(m.options.ChunkEvery, number) {
+	cut := isNth(m.options.CutEvery, number)
+	if isNth(m.options.ChunkEvery, number) {
 		_, _ = io.WriteString(w, answer[:len(answer)/2])
 		_ = http.NewResponseController(w).Flush()
 		if cut {
@@ -141,21 +142,21 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-// LastRun is when the newest request began.
+// LastRun returns the start time of the newest request.
 func (m *Minion) LastRun() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lastRun
 }
 
-// Runs gives how often each request was executed, by its id.
+// Runs returns the number of executions of each request, by request id.
 func (m *Minion) Runs() map[string]int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return maps.Clone(m.runs)
 }
 
-func (m *Minion) begin(id string) (uint64, bool) {
+func (m *Minion) acquireSlot(id string) (uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.busy >= m.options.Announcement.Slots {
@@ -165,11 +166,11 @@
 	m.served++
 	m.runs[id]++
 	m.lastRun = time.Now()
-	m.options.Record.once("request", id, m.served)
+	m.options.Record.writeOnce("request", id, m.served)
 	return m.served, true
 }
 
-func (m *Minion) finish() {
+func (m *Minion) releaseSlot() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.busy--
--- a/internal/standin/record.go
+++ b/internal/standin/record.go
@@ -6,15 +6,15 @@
 	"sync"
 )
 
-// Record writes a line for each thing that a stand-in did, so that a script can
-// tell what was lost or done twice without asking the system.
+// Record writes a line for each task or request that a stand-in executed, so that a
+// script can detect lost and repeated executions without asking the system.
 type Record struct {
 	mu   sync.Mutex
 	w    io.Writer
-	seen map[recorded]bool
+	seen map[recordKey]bool
 }
 
-type recorded struct {
+type recordKey struct {
 	kind   string
 	what   string
 	number uint64
@@ -22,19 +22,19 @@
 
 // NewRecord writes to w.
 func NewRecord(w io.Writer) *Record {
-	return &Record{w: w, seen: map[recorded]bool{}}
+	return &Record{w: w, seen: map[recordKey]bool{}}
 }
 
-// once writes KIND WHAT unless it was written with the same number before: a
-// worker repeats its report of one run, and another run has another number. A
-// nil Record writes nothing.
-func (r *Record) once(kind, what string, number uint64) {
+// writeOnce writes KIND WHAT unless it was written with the same number before: a
+// worker repeats the report of one run, and a different run has a different number.
+// A nil Record writes nothing.
+func (r *Record) writeOnce(kind, what string, number uint64) {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	key := recorded{kind, what, number}
+	key := recordKey{kind, what, number}
 	if r.seen[key] {
 		return
 	}
--- a/internal/standin/worker.go
+++ b/internal/standin/worker.go
@@ -18,31 +18,31 @@
 	Announcement api.Announcement
 	Servers      []string
 	Token        string
-	// Record takes a line for each task that completed; nil for none.
+	// Record receives a line for each task that completed; nil for none.
 	Record *Record
 	Tasks  tasks.Options
 }
 
-// Worker is a stand-in worker: the sockets around a table of tasks.
+// Worker is a stand-in worker: the network interface of a table of tasks.
 type Worker struct {
 	announcement api.Announcement
 	announcer    *announcer
 	record       *Record
 	mu           sync.Mutex
 	table        *tasks.Table
-	// wake tells the clock that the next end may have moved.
+	// wake notifies runTimer that the next deadline may have changed.
 	wake chan struct{}
-	// passage is closed while commands come through.
-	passage chan struct{}
+	// reachable is closed while commands can reach the worker.
+	reachable chan struct{}
 }
 
 // NewWorker makes a worker.
 func NewWorker(options WorkerOptions) *Worker {
 	options.Tasks.Incarnation = options.Announcement.Incarnation
-	passage := make(chan struct{})
-	close(passage)
+	reachable := make(chan struct{})
+	close(reachable)
 	return &Worker{
-		passage:      passage,
+		reachable:    reachable,
 		announcement: options.Announcement,
 		announcer:    newAnnouncer(api.PathAnnounceWorker, options.Servers, options.Token),
 		record:       options.Record,
@@ -51,10 +51,10 @@
 	}
 }
 
-// Run announces and keeps leases until ctx ends.
+// Run announces and ends tasks whose leases expire, until ctx ends.
 func (w *Worker) Run(ctx context.Context) {
-	go w.keepTime(ctx)
-	w.announcer.run(ctx, w.describe, w.take)
+	go w.runTimer(ctx)
+	w.announcer.run(ctx, w.describe, w.handleReply)
 }
 
 // Handler serves the commands of instances.
@@ -77,11 +77,11 @@
 			writeFailure(rw, failure.Wrap(failure.BadRequest, err, "command"))
 			return
 		}
-		<-w.passageNow()
+		<-w.reachableSignal()
 		w.mu.Lock()
 		answer, err := do(time.Now(), command)
 		w.mu.Unlock()
-		w.hurry()
+		w.wakeTimer()
 		if err != nil {
 			writeFailure(rw, err)
 			return
@@ -98,28 +98,28 @@
 	_ = json.NewEncoder(w).Encode(api.ErrorBody{Code: f.Code, Message: f.Message, NotRun: f.NotRun})
 }
 
-func (w *Worker) hurry() {
+func (w *Worker) wakeTimer() {
 	select {
 	case w.wake <- struct{}{}:
 	default:
 	}
 }
 
-// idleCheck is how long the clock sleeps when no task will end by itself.
-const idleCheck = time.Minute
+// idleInterval is how long runTimer sleeps when no task has a deadline.
+const idleInterval = time.Minute
 
-// keepTime ends tasks on time, and what nobody has renewed: that is what lets
-// the system reuse the accelerators of a worker that it cannot reach.
-func (w *Worker) keepTime(ctx context.Context) {
+// runTimer ends tasks when their run time is over or their lease has expired. The
+// system relies on the latter to reuse the accelerators of an unreachable worker.
+func (w *Worker) runTimer(ctx context.Context) {
 	for {
 		w.mu.Lock()
 		ended := w.table.Advance(time.Now())
 		next := w.table.Next()
 		w.mu.Unlock()
 		if ended {
-			w.announcer.hurry()
+			w.announcer.announceNow()
 		}
-		sleep := idleCheck
+		sleep := idleInterval
 		if !next.IsZero() {
 			sleep = max(time.Until(next), time.Millisecond)
 		}
@@ -142,15 +142,15 @@
 	announcement.Version, announcement.Tasks = w.table.Announce(time.Now())
 	for _, task := range announcement.Tasks {
 		if task.Phase == api.PhaseCompleted {
-			w.record.once("task", fmt.Sprintf("%s %d", task.Job, task.Task), task.Epoch)
+			w.record.writeOnce("task", fmt.Sprintf("%s %d", task.Job, task.Task), task.Epoch)
 		}
 	}
 	return &announcement
 }
 
-func (w *Worker) take(announcement *api.Announcement, reply *api.AnnounceReply) {
+func (w *Worker) handleReply(announcement *api.Announcement, reply *api.AnnounceReply) {
 	w.mu.Lock()
 	w.table.Take(time.Now(), announcement.Version, reply)
 	w.mu.Unlock()
-	w.hurry()
+	w.wakeTimer()
 }
--- a/test/gangs/disturb_test.go
+++ b/test/gangs/disturb_test.go
@@ -69,11 +69,11 @@
 	i := d.cluster.instances[voters+d.random.IntN(followers)]
 	d.found.during(d.t, "strand", h.name+" "+i.Name, func() {
 		worker := h.newest()
-		worker.Strand(i.URL)
+		worker.IsolateExcept(i.URL)
 		d.cluster.strand(i.Name)
 		time.Sleep(bounds().Alone + 2*time.Second)
 		d.cluster.rescue()
-		worker.Rejoin()
+		worker.Reconnect()
 	})
 }
 
@@ -147,7 +147,7 @@
 			worker := h.newest()
 			worker.Isolate()
 			time.Sleep(d.between(200*time.Millisecond, 4*time.Second))
-			worker.Rejoin()
+			worker.Reconnect()
 		})
 	case 2:
 		// A part of an order may have ended well when the other dies.
