--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -1,4 +1,4 @@
-// Package relay carries TCP connections and can be cut, to put a network
+// Package relay forwards TCP connections and can block them, to simulate a network
 // partition between two processes of a test.
 package relay
 
@@ -10,20 +10,20 @@
 	"pinewinch.example/pinewinch/internal/protocol/failure"
 )
 
-// Relay carries the TCP connections of one instance to another. While it is cut
-// it neither closes nor refuses: it holds what is sent, as a partition that drops
-// packets does until TCP gives up. What it holds is delivered, late, after a heal.
+// Relay forwards the TCP connections of one instance to another. While it is blocked
+// it neither closes nor refuses connections: it holds the data, as a partition that
+// drops packets does until TCP times out, and delivers it late once it is open again.
 type Relay struct {
 	From, To string
 	target   string
 	listener net.Listener
 	mu       sync.Mutex
-	open     chan struct{} // closed while traffic may pass
+	open     chan struct{} // closed while traffic is forwarded
 }
 
 const bufferSize = 32 << 10
 
-// Start listens on a free port of loopback and relays to the target.
+// Start listens on a free port of 127.0.0.1 and forwards connections to the target.
 func Start(from, to, target string) (*Relay, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,20 +35,20 @@
 	return r, nil
 }
 
-// Address is where the relay listens.
+// Address returns the host and port on which the relay listens.
 func (r *Relay) Address() string { return r.listener.Addr().String() }
 
-// Touches tells whether the relay leads from or to the instance.
-func (r *Relay) Touches(instance string) bool { return r.From == instance || r.To == instance }
+// Connects reports whether the relay connects from or to the instance.
+func (r *Relay) Connects(instance string) bool { return r.From == instance || r.To == instance }
 
-// Close ends the relay and lets go of what it holds.
+// Close stops accepting connections and delivers the data that the relay holds.
 func (r *Relay) Close() {
 	r.listener.Close()
-	r.Set(true)
+	r.SetOpen(true)
 }
 
-// Set lets traffic pass, or holds it.
-func (r *Relay) Set(open bool) {
+// SetOpen starts or stops the forwarding of traffic.
+func (r *Relay) SetOpen(open bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
@@ -69,30 +69,30 @@
 		if err != nil {
 			return
 		}
-		go r.carry(conn)
+		go r.forward(conn)
 	}
 }
 
-func (r *Relay) carry(conn net.Conn) {
+func (r *Relay) forward(conn net.Conn) {
 	defer conn.Close()
-	<-r.passage()
-	onward, err := net.Dial("tcp", r.target)
+	<-r.opened()
+	outbound, err := net.Dial("tcp", r.target)
 	if err != nil {
 		return
 	}
-	defer onward.Close()
+	defer outbound.Close()
 	done := make(chan struct{}, 2)
-	go r.pump(onward, conn, done)
-	go r.pump(conn, onward, done)
+	go r.forwardData(outbound, conn, done)
+	go r.forwardData(conn, outbound, done)
 	<-done
 }
 
-func (r *Relay) pump(to io.Writer, from io.Reader, done chan<- struct{}) {
+func (r *Relay) forwardData(to io.Writer, from io.Reader, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buffer := make([]byte, bufferSize)
 	for {
 		n, err := from.Read(buffer)
-		<-r.passage()
+		<-r.opened()
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return
@@ -104,7 +104,7 @@
 	}
 }
 
-func (r *Relay) passage() <-chan struct{} {
+func (r *Relay) opened() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.open
--- a/test/gangs/cluster_test.go
+++ b/test/gangs/cluster_test.go
@@ -97,8 +97,8 @@
 // stay as they are.
 func (c *cluster) set(a, b string, open bool) {
 	for _, r := range c.relays {
-		if r.Touches(a) && (b == "" || r.Touches(b)) && !r.Touches(c.strandedNow()) {
-			r.Set(open)
+		if r.Connects(a) && (b == "" || r.Connects(b)) && !r.Connects(c.strandedNow()) {
+			r.SetOpen(open)
 		}
 	}
 }
--- a/test/scenarios/relay_test.go
+++ b/test/scenarios/relay_test.go
@@ -21,12 +21,12 @@
 	}
 	found := false
 	for _, r := range fixtureOf(ts).relays {
-		touches := r.Touches(args[0])
+		touches := r.Connects(args[0])
 		if len(args) == 2 {
-			touches = touches && r.Touches(args[1])
+			touches = touches && r.Connects(args[1])
 		}
 		if touches {
-			r.Set(false)
+			r.SetOpen(false)
 			found = true
 		}
 	}
@@ -38,6 +38,6 @@
 // heal lets everything pass again.
 func heal(ts *testscript.TestScript, _ bool, _ []string) {
 	for _, r := range fixtureOf(ts).relays {
-		r.Set(true)
+		r.SetOpen(true)
 	}
 }
