--- a/test/conservation/instances_test.go
+++ b/test/conservation/instances_test.go
@@ -97,7 +97,7 @@
 		}
 		time.Sleep(time.Duration(random.IntN(300)) * time.Millisecond)
 		i.Start(t)
-		if !process.Reached(i.Ready) {
+		if !process.Eventually(i.Ready) {
 			t.Errorf("%s is not ready again", i.Name)
 			return done
 		}
--- a/test/process/process.go
+++ b/test/process/process.go
@@ -1,5 +1,5 @@
-// Package process runs instances of pinewinch as processes of their own for
-// tests: each is the test binary itself, so the race detector watches it too.
+// Package process runs instances of pinewinch as separate processes for tests. Each
+// process executes the test binary itself, so that the race detector covers it too.
 package process
 
 import (
@@ -22,21 +22,21 @@
 // roleVariable makes the test binary run as an instance.
 const roleVariable = "PINEWINCH_TEST_ROLE"
 
-// logSuffix is that of a log beside its settings.
+// logSuffix is appended to the path of the settings to name the instance's log file.
 const logSuffix = ".log"
 
 const (
-	patience  = 2 * time.Minute
-	pollEvery = 20 * time.Millisecond
+	waitTimeout  = 2 * time.Minute
+	pollInterval = 20 * time.Millisecond
 )
 
-// OperatorToken is the operators' token of the tests.
+// OperatorToken is the operator token that the tests use.
 const OperatorToken = "operator-secret"
 
-// Tokens are the customers' tokens of the tests.
+// Tokens are the customers' tokens that the tests use, by customer.
 var Tokens = map[string]string{"crews": "crews-secret", "planners": "planners-secret"}
 
-// TokenSections are the settings that go with the tokens.
+// TokenSections returns the settings sections with the hashes of the tokens.
 func TokenSections() string {
 	return fmt.Sprintf("[customers]\ncrews = %s\nplanners = %s\n[operators]\noperator = %s\n",
 		hashOf(Tokens["crews"]), hashOf(Tokens["planners"]), hashOf(OperatorToken))
@@ -44,7 +44,7 @@
 
 func hashOf(token string) string { return fmt.Sprintf("sha256:%x", sha256.Sum256([]byte(token))) }
 
-// Main runs the tests, or an instance where the process was started as one.
+// Main runs the tests, or an instance if the process was started as one.
 func Main(m *testing.M) int {
 	if os.Getenv(roleVariable) != "" {
 		return app.Main(os.Args[1:])
@@ -52,21 +52,21 @@
 	return m.Run()
 }
 
-// Instance is one process that is killed, frozen and started again.
+// Instance is one process that a test can kill, suspend and restart.
 type Instance struct {
 	Name string
-	// Config is the path of its settings; its log is written beside them.
+	// Config is the path of its settings; its log is written to the same folder.
 	Config string
 	URL    string
-	// Command is the newest process, and Exited is closed at its end.
+	// Command is the latest process, and Exited is closed when it has ended.
 	Command *exec.Cmd
 	Exited  chan struct{}
 }
 
-// Start starts the process, the first time or again.
+// Start starts or restarts the process.
 func (i *Instance) Start(t testing.TB) { i.StartWith(t, []string{"-config", i.Config}) }
 
-// StartWith starts it with other arguments and more of an environment.
+// StartWith starts the process with the arguments and additional environment variables.
 func (i *Instance) StartWith(t testing.TB, args []string, environment ...string) {
 	log, err := os.OpenFile(i.Config+logSuffix, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	is.New(t).NoErr(err)
@@ -82,7 +82,8 @@
 	}(i.Command, i.Exited)
 }
 
-// KeepLog copies the log, each process's after the one before it, to a folder.
+// KeepLog copies the log, which holds the output of all processes in order of their
+// starts, to a folder.
 func (i *Instance) KeepLog(t testing.TB, folder string) {
 	text, err := os.ReadFile(i.Config + logSuffix)
 	is.New(t).NoErr(err)
@@ -90,23 +91,23 @@
 	is.New(t).NoErr(os.WriteFile(filepath.Join(folder, i.Name+logSuffix), text, 0o600))
 }
 
-// Signal sends a signal; a process that has ended takes none.
+// Signal sends a signal; it has no effect on a process that has ended.
 func (i *Instance) Signal(signal syscall.Signal) { _ = i.Command.Process.Signal(signal) }
 
-// Stop sends a signal and waits for the end.
+// Stop sends a signal and waits until the process has ended.
 func (i *Instance) Stop(signal syscall.Signal) {
 	i.Signal(signal)
 	<-i.Exited
 }
 
-// Freeze stops the process for a while in whatever it is doing.
+// Freeze suspends the process for the given time.
 func (i *Instance) Freeze(length time.Duration) {
 	i.Signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	i.Signal(syscall.SIGCONT)
 }
 
-// Ready asks the instance as the balancer does.
+// Ready queries the readiness of the instance as a load balancer does.
 func (i *Instance) Ready() bool {
 	response, err := http.Get(i.URL + api.PathReady)
 	if err != nil {
@@ -116,10 +117,11 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Reached waits for what is bound to come, so that a slow machine changes the
-// time of a run and not its verdict.
-func Reached(done func() bool) bool {
-	for deadline := time.Now().Add(patience); !done(); time.Sleep(pollEvery) {
+// Eventually polls until done returns true and reports whether that happened within
+// waitTimeout. The limit is generous so that a slow machine affects the duration of a
+// test and not its result.
+func Eventually(done func() bool) bool {
+	for deadline := time.Now().Add(waitTimeout); !done(); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
 			return false
 		}
@@ -127,10 +129,10 @@
 	return true
 }
 
-// Await ends the test where what it waits for never comes.
+// Await polls until done returns true, and fails the test after waitTimeout.
 func Await(t testing.TB, what string, done func() bool) {
 	t.Helper()
-	if !Reached(done) {
+	if !Eventually(done) {
 		t.Fatalf("%s never came", what)
 	}
 }
