--- a/test/promises/promises_test.go
+++ b/test/promises/promises_test.go
@@ -1,4 +1,4 @@
-// Package promises holds docs/PROMISES.md against the tests that it names.
+// Package promises checks that the tests that docs/PROMISES.md names exist.
 package promises
 
 import (
@@ -43,8 +43,8 @@
 	noTest       = "No test"
 )
 
-// Each line of the brief has one row; a row names tests that exist, or says in
-// plain words that it has none.
+// Every line of the brief must have a row in the page, and every row must name existing
+// tests or state that there is none.
 func TestEveryPromiseNamesItsTests(t *testing.T) {
 	is := is.New(t)
 	page, err := os.ReadFile(filepath.Join(root, "docs/PROMISES.md"))
