--- a/test/conservation/conservation_test.go
+++ b/test/conservation/conservation_test.go
@@ -1,5 +1,6 @@
-// Package conservation runs requests through real instances that die, and
-// checks that none is lost, doubled, cut or given to the wrong caller.
+// Package conservation sends requests through instances that are killed, stopped and
+// suspended, and checks that no request is lost or executed twice and that no answer is
+// truncated or given to the wrong caller.
 package conservation
 
 import (
@@ -30,20 +31,20 @@
 	seed      = flag.Uint64("seed", 1, "seed of callers and disturbances")
 )
 
-// voters is how many instances, where there are so many, keep the log on disk.
+// voters is the maximum number of instances that keep the log on disk.
 const voters = 3
 
 func TestMain(m *testing.M) { os.Exit(process.Main(m)) }
 
-// roughMinion cuts, chunks, swaps and stalls answers.
-func roughMinion() standin.MinionOptions {
+// faultyMinion truncates, chunks, swaps and delays answers.
+func faultyMinion() standin.MinionOptions {
 	return standin.MinionOptions{
 		Delay: 5 * time.Millisecond, CutEvery: 23, ChunkEvery: 2, SwapEvery: 41, StallEvery: 101, Stall: 4 * time.Second,
 	}
 }
 
-// slowMinion takes slowTime for each request.
-func slowMinion() standin.MinionOptions { return standin.MinionOptions{Delay: slowTime} }
+// slowMinion has a service time of slowDelay.
+func slowMinion() standin.MinionOptions { return standin.MinionOptions{Delay: slowDelay} }
 
 func startMinion(t testing.TB, running []*process.Instance, options standin.MinionOptions) *standin.Minion {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -62,15 +63,16 @@
 	return minion
 }
 
-// A request run twice, or called "not run" though a minion recorded it, under any failure.
+// Under kills, graceful stops and suspensions of instances, no request may run twice, or
+// be reported as not run although a minion recorded it.
 func TestConservation(t *testing.T) {
 	is := is.New(t)
 	running := startInstances(t, *instances, "notice = 200ms\ngrace = 5s\n")
 	var started []*standin.Minion
 	for range *minions {
-		started = append(started, startMinion(t, running, roughMinion()))
+		started = append(started, startMinion(t, running, faultyMinion()))
 	}
-	time.Sleep(time.Second) // let the minions announce themselves
+	time.Sleep(time.Second) // until the minions have announced themselves
 	load := &conservation.Load{
 		Tokens: process.Tokens, Once: cutOrder, Repeatable: "report",
 		Requests: *requests, Callers: *callers, Seed: *seed,
@@ -80,7 +82,7 @@
 	}
 	stop, disturbed := make(chan struct{}), make(chan string, 1)
 	go func() {
-		done := disturb(t, running, rand.New(rand.NewPCG(*seed, 0)), stop)
+		done := injectFaults(t, running, rand.New(rand.NewPCG(*seed, 0)), stop)
 		disturbed <- fmt.Sprintf("%d kills, %d drains, %d freezes", done.kills, done.drains, done.freezes)
 	}()
 	began := time.Now()
@@ -98,5 +100,5 @@
 	if report.Violations() > 0 {
 		t.Fatal(strings.Join(report.Examples, "\n"))
 	}
-	is.True(report.Answered > report.Requests/10) // else little was checked
+	is.True(report.Answered > report.Requests/10) // otherwise too few answers were checked
 }
--- a/test/conservation/instances_test.go
+++ b/test/conservation/instances_test.go
@@ -17,8 +17,8 @@
 	"pinewinch.example/pinewinch/test/process"
 )
 
-// startInstances starts the instances, of which the first few are voters, and
-// declares the services; stop is their [stop] section.
+// startInstances starts the instances, the first of which are voters, and applies the
+// declarations of the services; stop is the content of their [stop] section.
 func startInstances(t testing.TB, count int, stop string) []*process.Instance {
 	folder := t.TempDir()
 	addresses, err := loopback.Reserve(2 * count)
@@ -71,11 +71,12 @@
 	}
 }
 
-// disturbances counts what was done to the instances.
-type disturbances struct{ kills, drains, freezes int }
+// faultCounts counts the faults injected into the instances.
+type faultCounts struct{ kills, drains, freezes int }
 
-// disturb kills, drains and freezes one instance after another until stop.
-func disturb(t testing.TB, instances []*process.Instance, random *rand.Rand, stop <-chan struct{}) (done disturbances) {
+// injectFaults kills, drains and suspends random instances, one at a time, until stop is
+// closed.
+func injectFaults(t testing.TB, instances []*process.Instance, random *rand.Rand, stop <-chan struct{}) (done faultCounts) {
 	for {
 		select {
 		case <-stop:
--- a/test/conservation/leaving_test.go
+++ b/test/conservation/leaving_test.go
@@ -9,8 +9,8 @@
 	"pinewinch.example/pinewinch/test/process"
 )
 
-// BenchmarkLeaving measures the time from a minion's word that it leaves to the
-// last request that it still gets from any of 9 instances under load.
+// BenchmarkLeaving measures the time from a minion's announcement that it leaves until
+// the last request that it receives from any of 9 instances under load.
 func BenchmarkLeaving(b *testing.B) {
 	running := startInstances(b, 9, "notice = 10ms\ngrace = 1s\n")
 	options := standin.MinionOptions{Delay: 5 * time.Millisecond}
@@ -25,13 +25,13 @@
 	b.ResetTimer()
 	for n := range b.N {
 		leaving := minions[n%2]
-		var told time.Time
+		var announced time.Time
 		time.AfterFunc(time.Second, func() {
-			told = time.Now()
+			announced = time.Now()
 			leaving.Leave()
 		})
 		load.Run(b.Context(), serve, client.Requests("report", false, []byte("ash")))
-		took := max(0, leaving.LastRun().Sub(told))
+		took := max(0, leaving.LastRun().Sub(announced))
 		worst, sum = max(worst, took), sum+took
 		leaving.Return()
 		time.Sleep(time.Second)
--- a/test/conservation/stop_test.go
+++ b/test/conservation/stop_test.go
@@ -17,8 +17,8 @@
 	"pinewinch.example/pinewinch/test/process"
 )
 
-// slowTime is how long the minion of these tests takes.
-const slowTime = 800 * time.Millisecond
+// slowDelay is the service time of slowMinion.
+const slowDelay = 800 * time.Millisecond
 
 type reply struct {
 	status int
@@ -27,15 +27,15 @@
 	err    error
 }
 
-// The services of these tests; heldOrder's time outlasts every bound of a stop,
-// so that nothing but the bound can end its request.
+// The services of these tests. The stall of a heldOrder request is longer than the time
+// limit of any stop in these tests, so that only that limit can end the request.
 const (
 	cutOrder  = "cut-order"
 	heldOrder = "held-order"
-	heldTime  = 50 * time.Second
+	stallTime = 50 * time.Second
 )
 
-func order(url, service, key string) reply {
+func sendOrder(url, service, key string) reply {
 	request, err := http.NewRequest(http.MethodPost, url+"/v1/requests/"+service, strings.NewReader("ash"))
 	if err != nil {
 		return reply{err: err}
@@ -51,25 +51,26 @@
 	return reply{response.StatusCode, response.Close, string(text), err}
 }
 
-// startSlow starts one instance and one slow minion with one slot, and sends
-// an order that is at the minion when it returns.
-func startSlow(t *testing.T, stop, service string, options standin.MinionOptions) (*process.Instance, <-chan reply) {
+// startSlowRequest starts one instance and one minion, and sends a request that has
+// reached the minion when the function returns.
+func startSlowRequest(t *testing.T, stop, service string, options standin.MinionOptions) (*process.Instance, <-chan reply) {
 	i := startInstances(t, 1, stop)[0]
 	minion := startMinion(t, []*process.Instance{i}, options)
-	process.Await(t, "minion", func() bool { return order(i.URL, service, "first").status == http.StatusOK })
+	process.Await(t, "minion", func() bool { return sendOrder(i.URL, service, "first").status == http.StatusOK })
 	slow := make(chan reply, 1)
-	go func() { slow <- order(i.URL, service, "slow") }()
+	go func() { slow <- sendOrder(i.URL, service, "slow") }()
 	process.Await(t, "order at the minion", func() bool { return minion.Runs()["crews/slow"] == 1 })
 	return i, slow
 }
 
-// A request cut off because its instance was told to stop.
+// A graceful stop must not abort requests in flight, and requests that arrive before the
+// instance ends are still answered.
 func TestStopCutsOffNothing(t *testing.T) {
 	is := is.New(t)
-	i, slow := startSlow(t, "notice = 1s\ngrace = 20s\n", cutOrder, slowMinion())
+	i, slow := startSlowRequest(t, "notice = 1s\ngrace = 20s\n", cutOrder, slowMinion())
 	is.NoErr(i.Command.Process.Signal(syscall.SIGTERM))
 	process.Await(t, "not ready", func() bool { return !i.Ready() })
-	again := order(i.URL, cutOrder, "again")
+	again := sendOrder(i.URL, cutOrder, "again")
 	is.NoErr(again.err)
 	is.Equal(again.status, http.StatusOK)
 	is.True(again.close)
@@ -79,20 +80,21 @@
 	is.True(strings.HasSuffix(first.text, "crews/slow: ash\n"))
 	<-i.Exited
 	is.Equal(i.Command.ProcessState.ExitCode(), 0)
-	is.True(order(i.URL, cutOrder, "late").err != nil)
+	is.True(sendOrder(i.URL, cutOrder, "late").err != nil)
 
-	// The last outcomes are in the log: a resend after a restart finds them.
+	// The last outcomes are in the log: a resend after a restart returns them.
 	i.Start(t)
 	process.Await(t, "restart", i.Ready)
 	for _, key := range []string{"slow", "again"} {
 		body := api.ErrorBody{}
-		is.NoErr(json.Unmarshal([]byte(order(i.URL, cutOrder, key).text), &body))
+		is.NoErr(json.Unmarshal([]byte(sendOrder(i.URL, cutOrder, key).text), &body))
 		is.Equal(body.Code, failure.AnswerGone)
 		is.Equal(body.NotRun, failure.NotRunFalse)
 	}
 }
 
-// A broken connection in place of an answer, for a request that outlasts the grace.
+// A request that exceeds the grace period must get the answer outcome_unknown instead of
+// a closed connection.
 func TestStopAtItsBound(t *testing.T) {
 	for name, stop := range map[string]string{
 		"grace over":    "notice = 10ms\ngrace = 50ms\n",
@@ -100,7 +102,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			i, slow := startSlow(t, stop, heldOrder, standin.MinionOptions{StallEvery: 2, Stall: heldTime})
+			i, slow := startSlowRequest(t, stop, heldOrder, standin.MinionOptions{StallEvery: 2, Stall: stallTime})
 			is.NoErr(i.Command.Process.Signal(syscall.SIGTERM))
 			process.Await(t, "not ready", func() bool { return !i.Ready() })
 			if name == "second signal" {
