--- a/test/scenarios/commands_test.go
+++ b/test/scenarios/commands_test.go
@@ -18,18 +18,18 @@
 
 const (
 	operatorToken = "operator-secret"
-	patience      = 30 * time.Second
-	pause         = 50 * time.Millisecond
-	// mostVoters is how many of a cluster's instances form its first quorum.
-	mostVoters = 3
+	waitTimeout   = 30 * time.Second
+	pollInterval  = 50 * time.Millisecond
+	// maxVoters is the maximum number of initial voters of a cluster.
+	maxVoters = 3
 )
 
 // cluster N [relayed] [FILE] writes the settings i1.ini to iN.ini of N
 // instances on reserved addresses and sets HTTP1 to HTTPN, SERVERS and the
 // operator's environment. The first three are voters and have a data folder.
-// With relayed every peer link goes through a relay that cut and heal work on;
-// without, a link to a dead instance is refused at once. FILE is added to the
-// settings of each, which end with [upstreams]; $NAME in it is the instance's name.
+// With relayed every peer link goes through a relay that cut and heal control;
+// without it, connections to a dead instance are refused at once. FILE is appended to
+// the settings of each, which end with [upstreams]; $NAME in it is the instance's name.
 func cluster(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
@@ -60,7 +60,7 @@
 	}
 }
 
-// upstreamsSection comes last, so that FILE may begin with more of its keys.
+// upstreamsSection is the last section, so that FILE may begin with more of its keys.
 const upstreamsSection = `[upstreams]
 announce_every = 500ms
 lease = 5s
@@ -70,13 +70,13 @@
 
 func instanceSettings(ts *testscript.TestScript, i int, web, peer netip.AddrPort, count int) string {
 	folder := ""
-	if i < mostVoters {
+	if i < maxVoters {
 		path := ts.MkAbs(fmt.Sprintf("data%d", i+1))
 		ts.Check(os.MkdirAll(path, 0o700))
 		folder = "data_folder = " + path + "\n"
 	}
 	var voters []string
-	for v := range min(count, mostVoters) {
+	for v := range min(count, maxVoters) {
 		voters = append(voters, nameOf(v))
 	}
 	return fmt.Sprintf(`[instance]
@@ -115,13 +115,13 @@
 	return "sha256:" + hex.EncodeToString(hash[:])
 }
 
-// eventually PATTERN PROGRAM ARGS... runs the program until it succeeds with
-// output that matches; it waits for what is bound to come, so that a slow
-// machine changes the time of a run and not its verdict. With ! it waits for an
-// output that does not match.
+// eventually PATTERN PROGRAM ARGS... runs the program repeatedly until it succeeds with
+// output that matches, or until waitTimeout, which is generous so that a slow machine
+// affects the duration of a test and not its result. With ! it waits for an output that
+// does not match.
 func eventually(ts *testscript.TestScript, neg bool, args []string) {
 	pattern := regexp.MustCompile(args[0])
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := ts.Exec(args[1], args[2:]...)
 		output := ts.ReadFile("stdout")
@@ -129,8 +129,8 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%s never came; last output:\n%s", args[0], output)
+			ts.Fatalf("timed out waiting for %s; last output:\n%s", args[0], output)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
--- a/test/scenarios/control_test.go
+++ b/test/scenarios/control_test.go
@@ -23,13 +23,13 @@
 	races = flag.Int("races", 30, "races of two operators with one revision")
 )
 
-// operator applies declarations under a client session of its own.
+// operator applies declarations in its own client session.
 type operator struct {
 	name     string
 	servers  []string
 	client   http.Client
 	sequence uint64
-	tries    int
+	attempts int
 }
 
 func newOperator(ts *testscript.TestScript, name string) *operator {
@@ -40,8 +40,8 @@
 	}
 }
 
-// accepted is one acknowledged change: the key it added and its revision.
-type accepted struct {
+// acknowledged is one acknowledged change: the key it added and its revision.
+type acknowledged struct {
 	key      string
 	revision uint64
 	at       time.Time
@@ -49,7 +49,7 @@
 
 // apply adds one customer against an expected revision and repeats the same
 // change, at one instance after another, until its outcome is known.
-func (o *operator) apply(expected uint64) (accepted, failure.Code, uint64) {
+func (o *operator) apply(expected uint64) (acknowledged, failure.Code, uint64) {
 	o.sequence++
 	key := fmt.Sprintf("%s-%d", o.name, o.sequence)
 	item, _ := json.Marshal(map[string]any{"key": "customer/" + key, "customer": map[string]any{"name": key, "weight": 1}})
@@ -60,18 +60,19 @@
 		reply, refused := api.ApplyReply{}, api.ErrorBody{}
 		switch o.call(http.MethodPost, api.PathDeclarations, body, &reply, &refused) {
 		case http.StatusOK:
-			return accepted{key: "customer/" + key, revision: reply.Revision, at: time.Now()}, "", reply.Revision
+			return acknowledged{key: "customer/" + key, revision: reply.Revision, at: time.Now()}, "", reply.Revision
 		case http.StatusConflict:
-			return accepted{}, refused.Code, refused.Revision
+			return acknowledged{}, refused.Code, refused.Revision
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// call asks the next instance; it gives 0 where no answer came.
+// call sends a request to the next instance; it returns the status, or 0 without a valid
+// answer.
 func (o *operator) call(method, path string, body []byte, reply, refused any) int {
-	o.tries++
-	request, err := http.NewRequest(method, o.servers[o.tries%len(o.servers)]+path, bytes.NewReader(body))
+	o.attempts++
+	request, err := http.NewRequest(method, o.servers[o.attempts%len(o.servers)]+path, bytes.NewReader(body))
 	if err != nil {
 		return 0
 	}
@@ -91,9 +92,9 @@
 	return response.StatusCode
 }
 
-// leader waits until an instance names one.
+// leader waits until an instance reports a leader and returns its name.
 func (o *operator) leader(ts *testscript.TestScript) string {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(pause) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		status := api.Status{}
 		if o.call(http.MethodGet, api.PathStatus, nil, &status, &api.ErrorBody{}) == http.StatusOK && status.Leader != "" {
 			return status.Leader
@@ -103,21 +104,21 @@
 	return ""
 }
 
-// diary collects what writers were told.
-type diary struct {
+// ackLog collects the changes that were acknowledged to the writers.
+type ackLog struct {
 	mu      sync.Mutex
-	entries []accepted
+	entries []acknowledged
 }
 
-func (d *diary) add(a accepted) {
+func (d *ackLog) add(a acknowledged) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.entries = append(d.entries, a)
 }
 
-// waitAfter waits for an acknowledgement later than a moment.
-func (d *diary) waitAfter(ts *testscript.TestScript, moment time.Time) time.Duration {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+// waitAfter waits for an acknowledgement later than moment and returns the time between.
+func (d *ackLog) waitAfter(ts *testscript.TestScript, moment time.Time) time.Duration {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		if at, ok := d.after(moment); ok {
 			return at.Sub(moment)
 		}
@@ -126,7 +127,7 @@
 	return 0
 }
 
-func (d *diary) after(moment time.Time) (time.Time, bool) {
+func (d *ackLog) after(moment time.Time) (time.Time, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.entries {
@@ -137,10 +138,10 @@
 	return time.Time{}, false
 }
 
-// killleaders kills the leader again and again while operators race to apply,
-// then compares what they were told with what every instance has.
+// killleaders kills the leader repeatedly while operators apply changes concurrently,
+// then compares the acknowledged changes with the state of every instance.
 func killLeaders(ts *testscript.TestScript, _ bool, _ []string) {
-	told, stop := &diary{}, make(chan struct{})
+	acks, stop := &ackLog{}, make(chan struct{})
 	var writers sync.WaitGroup
 	for i := range 4 {
 		writer := newOperator(ts, fmt.Sprintf("writer%d", i))
@@ -153,7 +154,7 @@
 				}
 				change, code, newest := writer.apply(revision)
 				if code == "" {
-					told.add(change)
+					acks.add(change)
 				}
 				revision = newest
 			}
@@ -162,13 +163,13 @@
 	watcher := newOperator(ts, "watcher")
 	var gaps []time.Duration
 	for range *kills {
-		told.waitAfter(ts, time.Now())
+		acks.waitAfter(ts, time.Now())
 		leader := watcher.leader(ts)
-		// The kill comes some way into the writes, elsewhere each time.
+		// The delay varies, so that each kill occurs at another point of the writes.
 		time.Sleep(time.Duration(len(gaps)*7%50) * time.Millisecond)
 		killed := time.Now()
 		crash(ts, false, []string{leader})
-		gaps = append(gaps, told.waitAfter(ts, killed.Add(10*time.Millisecond)))
+		gaps = append(gaps, acks.waitAfter(ts, killed.Add(10*time.Millisecond)))
 		start(ts, false, []string{leader, "pinewinchd", "-config", leader + ".ini"})
 		ready(ts, false, []string{ts.Getenv("HTTP" + leader[1:])})
 	}
@@ -176,17 +177,17 @@
 	writers.Wait()
 	slices.Sort(gaps)
 	ts.Logf("%d kills, %d changes acknowledged; without a leader: median %s, worst %s",
-		*kills, len(told.entries), gaps[len(gaps)/2], gaps[len(gaps)-1])
-	compare(ts, told.entries)
+		*kills, len(acks.entries), gaps[len(gaps)/2], gaps[len(gaps)-1])
+	checkDeclarations(ts, acks.entries)
 }
 
-// compare checks that each acknowledged change is there, that no revision was
-// given twice, and that there are as many keys as revisions: none was lost and
-// none applied twice.
-func compare(ts *testscript.TestScript, told []accepted) {
+// checkDeclarations checks on every instance that each acknowledged change is present, that
+// no revision was assigned twice, and that there are as many keys as revisions: no change
+// was lost or applied twice.
+func checkDeclarations(ts *testscript.TestScript, acks []acknowledged) {
 	revisions := map[uint64]string{}
 	var newest uint64
-	for _, change := range told {
+	for _, change := range acks {
 		if other := revisions[change.revision]; other != "" {
 			ts.Fatalf("revision %d was given to %s and %s", change.revision, other, change.key)
 		}
@@ -198,7 +199,7 @@
 		if uint64(len(keys)) != revision {
 			ts.Fatalf("%s has %d keys at revision %d", server, len(keys), revision)
 		}
-		for _, change := range told {
+		for _, change := range acks {
 			if !keys[change.key] {
 				ts.Fatalf("%s lost %s, acknowledged as revision %d", server, change.key, change.revision)
 			}
@@ -206,11 +207,12 @@
 	}
 }
 
-// declarations waits until an instance has a revision and gives its keys.
+// declarations waits until an instance has the revision newest and returns its keys and
+// its revision.
 func declarations(ts *testscript.TestScript, server string, newest uint64) (map[string]bool, uint64) {
 	reader := newOperator(ts, "reader")
 	reader.servers = []string{server}
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(pause) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		reply := api.Declarations{}
 		status := reader.call(http.MethodGet, api.PathDeclarations, nil, &reply, &api.ErrorBody{})
 		if status != http.StatusOK || reply.Revision < newest {
@@ -228,11 +230,11 @@
 	return nil, 0
 }
 
-// raceOperators lets two operators apply against the same revision, each at
-// another instance, and wants one winner and one typed conflict each time.
+// raceOperators makes two operators apply against the same revision, each at a different
+// instance, and expects one success and one conflict each time.
 func raceOperators(ts *testscript.TestScript, _ bool, _ []string) {
 	first, second := newOperator(ts, "first"), newOperator(ts, "second")
-	second.tries = 1
+	second.attempts = 1
 	revision := uint64(0)
 	for round := range *races {
 		codes := make([]failure.Code, 2)
@@ -253,24 +255,24 @@
 	}
 }
 
-// changeAndCrash applies N changes, kills every instance at once, starts them
-// again and wants every change back everywhere.
+// changeAndCrash applies N changes, kills all instances at once, restarts them and
+// expects every change on every instance.
 func changeAndCrash(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[0])
 	ts.Check(err)
 	writer := newOperator(ts, "writer")
-	var told []accepted
+	var acks []acknowledged
 	for revision := range count {
 		change, code, _ := writer.apply(uint64(revision))
 		if code != "" {
 			ts.Fatalf("change against revision %d: %s", revision, code)
 		}
-		told = append(told, change)
+		acks = append(acks, change)
 	}
 	instances := []string{"i1", "i2", "i3"}
 	crash(ts, false, instances)
 	for _, instance := range instances {
 		start(ts, false, []string{instance, "pinewinchd", "-config", instance + ".ini"})
 	}
-	compare(ts, told)
+	checkDeclarations(ts, acks)
 }
--- a/test/scenarios/examples_test.go
+++ b/test/scenarios/examples_test.go
@@ -11,12 +11,12 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// An example is a block of a request as HTTP writes it, followed by a block of
-// the answer: its status, then lines that its header or body must have.
+// An example is a block with an HTTP request, followed by a block with the expected
+// answer: its status, then lines that its header or body must contain.
 var examplePattern = regexp.MustCompile("(?s)```http\n(.*?)```\\s+```answer\n(.*?)```")
 
-// apiExamples FILE URL runs every example of a page against an instance, in
-// the page's order.
+// apiExamples FILE URL runs the examples of a page against an instance, in the order of
+// the page.
 func apiExamples(ts *testscript.TestScript, _ bool, args []string) {
 	page, err := os.ReadFile(args[0])
 	ts.Check(err)
@@ -50,7 +50,7 @@
 		name, value, _ := strings.Cut(line, ": ")
 		request.Header.Add(name, value)
 	}
-	client := http.Client{Timeout: patience}
+	client := http.Client{Timeout: waitTimeout}
 	response, err := client.Do(request)
 	ts.Check(err)
 	defer response.Body.Close()
--- a/test/scenarios/lossy_test.go
+++ b/test/scenarios/lossy_test.go
@@ -16,9 +16,9 @@
 	"pinewinch.example/pinewinch/internal/testcerts"
 )
 
-// lossy VARIABLE URL COUNT serves what the instance at URL serves, but drops the
-// answers of the first COUNT calls that change something, after the instance
-// has given them: the caller sees a connection that breaks.
+// lossy VARIABLE URL COUNT starts a proxy of the instance at URL that drops the answers of
+// the first COUNT calls with a method other than GET, after the instance has executed
+// them: the caller's connection is closed. VARIABLE is set to the proxy's URL.
 func lossy(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) != 3 {
 		ts.Fatalf("usage: lossy VARIABLE URL COUNT")
@@ -28,7 +28,7 @@
 	var left atomic.Int64
 	left.Store(count)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		response, err := passOn(r, args[1])
+		response, err := forward(r, args[1])
 		if err != nil {
 			panic(http.ErrAbortHandler)
 		}
@@ -46,7 +46,7 @@
 	ts.Setenv(args[0], server.URL)
 }
 
-func passOn(r *http.Request, server string) (*http.Response, error) {
+func forward(r *http.Request, server string) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return nil, err
@@ -59,14 +59,14 @@
 	return http.DefaultClient.Do(request)
 }
 
-// tally CODE=COUNT... NAME... waits until the processes have ended and counts
-// their exit codes.
+// tally CODE=COUNT... NAME... waits until the processes have ended and checks how many of
+// them had each exit code.
 func tally(ts *testscript.TestScript, _ bool, args []string) {
 	want, got := map[int]int{}, map[int]int{}
 	for _, arg := range args {
 		code, count, ok := strings.Cut(arg, "=")
 		if !ok {
-			p := named(ts, arg)
+			p := startedProcess(ts, arg)
 			p.await(ts, arg)
 			got[p.command.ProcessState.ExitCode()]++
 			continue
@@ -83,9 +83,8 @@
 	}
 }
 
-// certificates AUTHORITY INSTANCE... makes an authority, AUTHORITY.pem, and with
-// it NAME.pem and NAME.key for each instance of the cluster, over those that are
-// there.
+// certificates AUTHORITY INSTANCE... creates a certificate authority, AUTHORITY.pem, and
+// issues NAME.pem and NAME.key for each instance, replacing existing files.
 func certificates(ts *testscript.TestScript, _ bool, args []string) {
 	authority, err := testcerts.New(ts.MkAbs("."), args[0])
 	ts.Check(err)
--- a/test/scenarios/processes_test.go
+++ b/test/scenarios/processes_test.go
@@ -19,11 +19,11 @@
 	"pinewinch.example/pinewinch/internal/standin/relay"
 )
 
-// fixture is what one script has started.
+// fixture holds what one script has started.
 type fixture struct {
 	processes map[string]*process
 	relays    []*relay.Relay
-	// asked holds the statuses of requests sent by ask, by its name.
+	// asked holds the statuses of the requests of each ask command, by its name.
 	asked map[string]chan int
 }
 
@@ -38,12 +38,12 @@
 	ended   chan struct{}
 }
 
-// passedOn is the environment that a started process gets.
-var passedOn = []string{"PATH", "HOME", "TMPDIR", "PINEWINCH_SERVER", "PINEWINCH_TOKEN"}
+// inheritedEnv names the script's environment variables that a started process inherits.
+var inheritedEnv = []string{"PATH", "HOME", "TMPDIR", "PINEWINCH_SERVER", "PINEWINCH_TOKEN"}
 
 // start NAME PROGRAM ARGS... runs a program until the script ends or stops it;
 // its output is in NAME.out and NAME.err. A name whose process has ended may
-// be started again: the output is added to the same files.
+// be started again: the output is appended to the same files.
 func start(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: start NAME PROGRAM ARGS...")
@@ -51,7 +51,7 @@
 	name := args[0]
 	command := exec.Command(findProgram(ts, args[1]), args[2:]...)
 	command.Dir = ts.MkAbs(".")
-	for _, key := range passedOn {
+	for _, key := range inheritedEnv {
 		command.Env = append(command.Env, key+"="+ts.Getenv(key))
 	}
 	command.Stdout = appendTo(ts, name+".out")
@@ -87,7 +87,7 @@
 	return file
 }
 
-func named(ts *testscript.TestScript, name string) *process {
+func startedProcess(ts *testscript.TestScript, name string) *process {
 	p := fixtureOf(ts).processes[name]
 	if p == nil {
 		ts.Fatalf("no process %s was started", name)
@@ -98,27 +98,27 @@
 func (p *process) await(ts *testscript.TestScript, name string) {
 	select {
 	case <-p.ended:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		ts.Fatalf("%s did not end", name)
 	}
 }
 
 func signal(ts *testscript.TestScript, name string, s syscall.Signal) {
-	ts.Check(named(ts, name).command.Process.Signal(s))
+	ts.Check(startedProcess(ts, name).command.Process.Signal(s))
 }
 
-// crash NAME... kills processes at once, as a power cut does, and waits for
-// their end.
+// crash NAME... kills the processes, as a power failure does, and waits until they have
+// ended.
 func crash(ts *testscript.TestScript, _ bool, names []string) {
 	for _, name := range names {
 		signal(ts, name, syscall.SIGKILL)
 	}
 	for _, name := range names {
-		named(ts, name).await(ts, name)
+		startedProcess(ts, name).await(ts, name)
 	}
 }
 
-// freeze NAME... stops processes without ending them; thaw lets them go on.
+// freeze NAME... suspends processes (SIGSTOP); thaw resumes them.
 func freeze(ts *testscript.TestScript, _ bool, names []string) {
 	for _, name := range names {
 		signal(ts, name, syscall.SIGSTOP)
@@ -131,7 +131,7 @@
 	}
 }
 
-// terminate NAME... asks processes to end and goes on at once.
+// terminate NAME... sends SIGTERM to processes and does not wait until they have ended.
 func terminate(ts *testscript.TestScript, _ bool, names []string) {
 	for _, name := range names {
 		signal(ts, name, syscall.SIGTERM)
@@ -145,7 +145,7 @@
 	}
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	p := named(ts, args[0])
+	p := startedProcess(ts, args[0])
 	p.await(ts, args[0])
 	if code := p.command.ProcessState.ExitCode(); code != want {
 		ts.Fatalf("%s ended with %d, not %d", args[0], code, want)
@@ -153,7 +153,7 @@
 }
 
 // http METHOD URL [HEADER: VALUE]... [@FILE] sends one request and keeps the
-// answer's status line and body as http.out, for grep; ! http wants an error.
+// answer's status, header and body in http.out, for grep; ! http expects an error status.
 func httpCommand(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) < 2 {
 		ts.Fatalf("usage: http METHOD URL [HEADER: VALUE]... [@FILE]")
@@ -171,7 +171,7 @@
 	request, err := http.NewRequest(args[0], args[1], body)
 	ts.Check(err)
 	request.Header = header
-	client := http.Client{Timeout: patience}
+	client := http.Client{Timeout: waitTimeout}
 	response, err := client.Do(request)
 	ts.Check(err)
 	defer response.Body.Close()
@@ -188,10 +188,10 @@
 	}
 }
 
-// ready URL waits until the instance there is ready; with ! until it is not.
+// ready URL waits until the instance at URL is ready; with ! until it is not.
 func ready(ts *testscript.TestScript, neg bool, args []string) {
 	client := http.Client{Timeout: time.Second}
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		response, err := client.Get(args[0] + "/readyz")
 		if err == nil {
@@ -206,12 +206,12 @@
 			}
 			ts.Fatalf("%s: readiness never became %t", args[0], !neg)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
-// cancelall FILE cancels the jobs that a "get jobs -o json" listed, in one call
-// of the tool.
+// cancelall FILE cancels the jobs in the output of "get -o json jobs", in one call of
+// the tool.
 func cancelAll(ts *testscript.TestScript, _ bool, args []string) {
 	var jobs []api.Job
 	ts.Check(json.Unmarshal([]byte(ts.ReadFile(args[0])), &jobs))
@@ -222,19 +222,19 @@
 	ts.Check(ts.Exec("pinewinch", command...))
 }
 
-// started FILE COUNT waits until a stand-in's record has that many lines.
+// started FILE COUNT waits until a stand-in's record has at least that many lines.
 func started(ts *testscript.TestScript, _ bool, args []string) {
 	want, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		text, err := os.ReadFile(ts.MkAbs(args[0]))
 		if err == nil && strings.Count(string(text), "\n") >= want {
 			return
 		}
 		if time.Now().After(deadline) {
-			ts.Fatalf("%s has not %d lines:\n%s", args[0], want, text)
+			ts.Fatalf("%s has fewer than %d lines:\n%s", args[0], want, text)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
--- a/test/scenarios/relay_test.go
+++ b/test/scenarios/relay_test.go
@@ -13,8 +13,8 @@
 	return r
 }
 
-// cut A [B] drops, without a word, what goes between the instances A and B in
-// both directions, or between A and every other. It needs `cluster N relayed`.
+// cut A [B] silently blocks traffic between the instances A and B in both directions, or
+// between A and all others. It needs `cluster N relayed`.
 func cut(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 1 || len(args) > 2 {
 		ts.Fatalf("usage: cut A [B]")
@@ -35,7 +35,7 @@
 	}
 }
 
-// heal lets everything pass again.
+// heal opens all links again.
 func heal(ts *testscript.TestScript, _ bool, _ []string) {
 	for _, r := range fixtureOf(ts).relays {
 		r.SetOpen(true)
--- a/test/scenarios/requests_test.go
+++ b/test/scenarios/requests_test.go
@@ -9,8 +9,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// ask NAME COUNT URL SERVICE sends requests of the customer crews at once, and
-// goes on; the instance may be one that answers later.
+// ask NAME COUNT URL SERVICE sends COUNT concurrent requests of the customer crews and does
+// not wait for the answers, so that the instance may be suspended.
 func ask(ts *testscript.TestScript, _ bool, args []string) {
 	count, err := strconv.Atoi(args[1])
 	ts.Check(err)
@@ -20,7 +20,7 @@
 		ts.Check(err)
 		request.Header.Set("Authorization", "Bearer crews-secret")
 		go func() {
-			client := http.Client{Timeout: patience}
+			client := http.Client{Timeout: waitTimeout}
 			response, err := client.Do(request)
 			if err != nil {
 				statuses <- 0
@@ -33,8 +33,8 @@
 	fixtureOf(ts).asked[args[0]] = statuses
 }
 
-// asked NAME STATUS... waits for the answers to ask; each must have one of the
-// statuses.
+// asked NAME STATUS... waits for the answers to the requests of ask NAME; each must have
+// one of the statuses.
 func asked(ts *testscript.TestScript, _ bool, args []string) {
 	statuses := fixtureOf(ts).asked[args[0]]
 	for range cap(statuses) {
--- a/test/scenarios/scenario_test.go
+++ b/test/scenarios/scenario_test.go
@@ -1,4 +1,4 @@
-// Package scenarios runs scripted scenarios of real processes on loopback.
+// Package scenarios runs scripted scenarios with separate processes on loopback addresses.
 package scenarios
 
 import (
@@ -13,8 +13,8 @@
 	"pinewinch.example/pinewinch/internal/standin/standincmd"
 )
 
-// TestMain lets scenarios exec the programs: each runs as a process of its
-// own, from this test binary, so the race detector watches it too.
+// TestMain lets scenarios execute the programs: each runs as a separate process of this
+// test binary, so that the race detector covers it too.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"pinewinchd":        func() { os.Exit(app.Main(os.Args[1:])) },
