--- a/test/scenarios/relay_test.go
+++ b/test/scenarios/relay_test.go
@@ -13,20 +13,20 @@
 	return r
 }
 
-// cut A [B] drops, without a word, what goes between the instances A and B in
-// both directions, or between A and every other. It needs `cluster N relayed`.
+// cut A [B] silently blocks traffic between the instances A and B in both directions, or
+// between A and all others. It needs `cluster N relayed`.
 func cut(ts *testscript.TestScript, _ bool, args []string) {
 	if len(args) < 1 || len(args) > 2 {
 		ts.Fatalf("usage: cut A [B]")
 	}
 	found := false
 	for _, r := range fixtureOf(ts).relays {
-		touches := r.Touches(args[0])
+		touches := r.Connects(args[0])
 		if len(args) == 2 {
-			touches = touches && r.Touches(args[1])
+			touches = touches && r.Connects(args[1])
 		}
 		if touches {
-			r.Set(false)
+			r.SetOpen(false)
 			found = true
 		}
 	}
@@ -35,9 +35,9 @@
 	}
 }
 
-// heal lets everything pass again.
+// heal opens all links again.
 func heal(ts *testscript.TestScript, _ bool, _ []string) {
 	for _, r := range fixtureOf(ts).relays {
-		r.Set(true)
+		r.SetOpen(true)
 	}
 }
