--- a/internal/transport/upstream/client.go
+++ b/internal/transport/upstream/client.go
@@ -41,29 +41,29 @@
 // NewClient creates a client whose connections stay within the share. It does not follow
 // redirects, which upstreams do not send. The logger may be nil.
 func NewClient(share connections.Share, logger *logrus.Logger) *Client {
-	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: share.Idle}
+	limits := ConnectionLimits{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdlePerHost, IdleTimeout: idleTimeout, MaxIdle: share.Idle}
 	return &Client{http: NewHTTP(traffic, connections.NewGroup("upstream", share.Dialled, logger), limits)}
 }
 
-// Connections limits the connections to upstreams.
-type Connections struct {
+// ConnectionLimits limits the connections to upstreams.
+type ConnectionLimits struct {
 	DialTimeout time.Duration
-	// Idle is the maximum number of idle connections per upstream, and IdleLife the time
-	// after which an idle connection is closed.
-	Idle     int
-	IdleLife time.Duration
-	// MostIdle is the maximum number of idle connections to all upstreams.
-	MostIdle int
+	// MaxIdlePerHost is the maximum number of idle connections per upstream, and IdleTimeout
+	// the time after which an idle connection is closed.
+	MaxIdlePerHost int
+	IdleTimeout    time.Duration
+	// MaxIdle is the maximum number of idle connections to all upstreams.
+	MaxIdle int
 }
 
 // NewHTTP creates an HTTP client for upstreams. It does not follow redirects, and its
 // connections stay within the limit of the group.
-func NewHTTP(counters counted.Counters, group *connections.Group, limits Connections) *http.Client {
+func NewHTTP(counters counted.Counters, group *connections.Group, limits ConnectionLimits) *http.Client {
 	dialer := &net.Dialer{Timeout: limits.DialTimeout}
 	transport := &http.Transport{
-		MaxIdleConns:        limits.MostIdle,
-		MaxIdleConnsPerHost: limits.Idle,
-		IdleConnTimeout:     limits.IdleLife,
+		MaxIdleConns:        limits.MaxIdle,
+		MaxIdleConnsPerHost: limits.MaxIdlePerHost,
+		IdleConnTimeout:     limits.IdleTimeout,
 		DisableCompression:  true,
 	}
 	transport.DialContext = group.Dialer(counters.Dialer(dialer.DialContext), transport.CloseIdleConnections)
@@ -109,7 +109,7 @@
 // sendFailure returns a failure that says that the command did not run if the connection
 // was never opened, and one with an unknown outcome for any later error.
 func sendFailure(err error, address string) *failure.Error {
-	if unsent := NotSent(err, address); unsent != nil {
+	if unsent := DialFailure(err, address); unsent != nil {
 		return unsent
 	}
 	return failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, err, "send to %s", address)
--- a/internal/transport/upstream/notsent_test.go
+++ b/internal/transport/upstream/notsent_test.go
@@ -34,7 +34,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			unsent := NotSent(c.err, "w")
+			unsent := DialFailure(c.err, "w")
 			is.Equal(unsent != nil, c.want != "")
 			if unsent != nil {
 				is.Equal(unsent.Code, c.want)
--- a/internal/transport/upstream/serve.go
+++ b/internal/transport/upstream/serve.go
@@ -212,10 +212,10 @@
 	return answer, nil
 }
 
-// NotSent returns the failure of an exchange whose connection was never opened, so that
+// DialFailure returns the failure of an exchange whose connection was never opened, so that
 // nothing was sent, or nil for any other error. Its code is OutOfDescriptors if the dial
 // failed for lack of file descriptors, else Unreachable.
-func NotSent(err error, address string) *failure.Error {
+func DialFailure(err error, address string) *failure.Error {
 	if !dialFailed(err) {
 		return nil
 	}
--- a/internal/transport/upstream/serve_test.go
+++ b/internal/transport/upstream/serve_test.go
@@ -301,7 +301,7 @@
 		t.Cleanup(server.Close)
 		addresses = append(addresses, server.Listener.Addr().String())
 	}
-	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: maxConnections}
+	limits := ConnectionLimits{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdlePerHost, IdleTimeout: idleTimeout, MaxIdle: maxConnections}
 	client := &Client{http: NewHTTP(traffic, connections.NewGroup("many_workers_test", maxConnections, nil), limits)}
 	slots := make(chan struct{}, concurrency)
 	var group sync.WaitGroup
