--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -19,7 +19,7 @@
 // accepted elsewhere. The isolated instance must refuse callers within the freshness
 // bound, or it would admit work under outdated rules. After the partition heals it must
 // apply the change before it admits anything.
-func TestCutInstanceRefusesAndNeverReverts(t *testing.T) {
+func TestPartitionedInstanceRefusesAndNeverReverts(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
 		m := newNetwork()
@@ -53,7 +53,7 @@
 // then nothing more arrives. If their age were counted from arrival they would appear
 // fresh. The age must be counted from the ping that they echo, so that the instance
 // refuses callers one freshness bound after that ping.
-func TestLateBatchIsAsOldAsItsPing(t *testing.T) {
+func TestDelayedBatchIsAsOldAsItsPing(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
 		m := newNetwork()
@@ -105,7 +105,7 @@
 // An instance loses its source and switches to one that lags far behind. The revision
 // visible to readers must not decrease, and must advance again once the source has
 // caught up.
-func TestSourceThatIsBehindTakesNothingBack(t *testing.T) {
+func TestLaggingSourceDoesNotRevertState(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
 		m := newNetwork()
--- a/internal/coordination/follower/followerlimit_test.go
+++ b/internal/coordination/follower/followerlimit_test.go
@@ -72,7 +72,7 @@
 // the state it cannot be added as a voter in place of its former self, and the loss of two
 // more disks, which is tolerated by then, lost the quorum with all accepted data. A replica
 // must be served regardless of the number of other followers.
-func TestReplicaWithoutADiskIsServedInACrowd(t *testing.T) {
+func TestWipedReplicaIsServedAboveFollowerLimit(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is, m := is.New(t), newNetwork()
 		newVoter(m, "v").Publish(stateWithReplicas("v", "w"))
@@ -87,7 +87,7 @@
 
 // Diskless followers on slow links, whose transfers take seconds, are still receiving the
 // state when a wiped replica restarts. The replica must have the state before them.
-func TestReplicaWithoutADiskWaitsForNoTransfer(t *testing.T) {
+func TestWipedReplicaDoesNotWaitForTransfers(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is, m := is.New(t), newNetwork()
 		snapshot := stateOfSize(5e6).Snapshot()
--- a/internal/coordination/follower/forward_test.go
+++ b/internal/coordination/follower/forward_test.go
@@ -94,7 +94,7 @@
 // A follower has forwarded a caller's workflow to the leader, which is paused and never
 // answers. Its source names the leader elected 0.6 s later. The command must then be
 // resent there, instead of failing with unknown outcome at the caller's deadline.
-func TestCommandLeavesAFrozenLeaderWithTheNews(t *testing.T) {
+func TestCommandIsResentWhenSourceNamesNewLeader(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
 		f := newForwarder(ctx, "old")
@@ -127,7 +127,7 @@
 // of the next one. After an election timeout and the time for its result to arrive the
 // follower asks a voter, which names the next leader. That voter must not be the frozen
 // leader, or the rest of the caller's timeout would be spent there.
-func TestCommandLeavesAFrozenLeaderWithoutNews(t *testing.T) {
+func TestCommandIsResentWhileSourceNamesFrozenLeader(t *testing.T) {
 	for name, voters := range map[string][]string{"voters": {"v"}, "frozen voter first": {"old", "v"}} {
 		t.Run(name, func(t *testing.T) {
 			bubble(t, func(t *testing.T, ctx context.Context) {
@@ -166,7 +166,7 @@
 // resumes, and a later refusal with "did not run" applies only to its own attempt. The
 // caller must receive an unknown outcome, or it would treat a workflow as refused that
 // runs later.
-func TestUnknownOutcomeOfAFrontStaysUnknown(t *testing.T) {
+func TestUnknownOutcomeIsNotOverriddenByLaterRefusal(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is := is.New(t)
 		f := newForwarder(ctx, "old")
--- a/internal/coordination/follower/model_test.go
+++ b/internal/coordination/follower/model_test.go
@@ -127,7 +127,7 @@
 // A follower asks an instance that no longer leads, then one that is unreachable, and
 // then the new leader. A command with unknown outcome must not be resent: it may have
 // been committed.
-func TestProposeGoesOnlyWhereItSurelyDidNotRun(t *testing.T) {
+func TestProposeRetriesOnlyCommandsThatDidNotRun(t *testing.T) {
 	moved := failure.New(failure.NotLeader, "moved")
 	moved.Leader = "w"
 	tests := map[string]struct {
--- a/internal/coordination/follower/slowlink_test.go
+++ b/internal/coordination/follower/slowlink_test.go
@@ -102,7 +102,7 @@
 // so long on such a link that the idle timeout of the source could expire; the instance
 // then started over at another source, forever, and refused every caller. It must be ready
 // within the time that the transfer of the state takes on the link.
-func TestStartsOnAThinLink(t *testing.T) {
+func TestStartOnSlowLink(t *testing.T) {
 	tests := []struct {
 		megabytes float64
 		followers int
@@ -137,7 +137,7 @@
 
 // The source is partitioned during a transfer. The instance must resume the transfer of
 // the snapshot at another source instead of starting over.
-func TestTransferGoesOnAtAnotherSource(t *testing.T) {
+func TestTransferResumesAtAnotherSource(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is, m := is.New(t), newNetwork()
 		state := stateOfSize(8e6)
@@ -167,7 +167,7 @@
 // there after a power failure. All four requested the state from that instance, shared its
 // link of 2 Mbit/s, and refused callers four times as long as one transfer takes, while
 // the replicas elsewhere had capacity. A relay must send one snapshot at a time.
-func TestStartsBesideANeighbourOnAThinLink(t *testing.T) {
+func TestStartBesideRelayOnSlowLink(t *testing.T) {
 	bubble(t, func(t *testing.T, ctx context.Context) {
 		is, m := is.New(t), newNetwork()
 		v := newVoter(m, "v")
--- a/internal/coordination/repairer/repairer_test.go
+++ b/internal/coordination/repairer/repairer_test.go
@@ -134,7 +134,7 @@
 // few seconds later. Unless the new replica votes by then, three of five voters have
 // lost the log and everything accepted is lost. The instance reports its new identity,
 // so no delay is needed.
-func TestNewIdentityAtAVotersAddressIsTakenInAtOnce(t *testing.T) {
+func TestVoterWithNewIdentityIsReplacedImmediately(t *testing.T) {
 	is, c := is.New(t), newFakeCluster()
 	r := c.repairer()
 	c.unresponsive["c"] = true
@@ -150,7 +150,7 @@
 // learner has caught up. The learner reports itself as a member of the log. If the next
 // leader took it for a voter, it would find no spare for the lost voter, the new replica
 // would never vote, and the loss of two more disks would lose the log.
-func TestLearnerThatAnEarlierLeaderLeftIsTakenOn(t *testing.T) {
+func TestNextLeaderPromotesLearner(t *testing.T) {
 	is, c := is.New(t), newFakeCluster()
 	c.unresponsive["c"] = true
 	c.learner = &consensuspb.Member{Identity: "c.2", Instance: "c"}
--- a/internal/coordination/replica/bootstrap_test.go
+++ b/internal/coordination/replica/bootstrap_test.go
@@ -59,7 +59,7 @@
 
 // Guards against seconds without a leader because the other voters pause between two
 // rounds of introductions while the last voter starts.
-func TestLateVoterIsFoundedWithAtOnce(t *testing.T) {
+func TestLateVoterJoinsBootstrapImmediately(t *testing.T) {
 	for _, late := range voters {
 		t.Run(late, func(t *testing.T) {
 			inBubble(t, func(is *is.I, m *mesh) {
--- a/internal/coordination/replica/confirm_test.go
+++ b/internal/coordination/replica/confirm_test.go
@@ -16,7 +16,7 @@
 
 // Guards against callers refused as stale because a replica waits for the answer of a
 // paused leader.
-func TestReplicaAsksTheNewLeaderWhenTheOldOneFreezes(t *testing.T) {
+func TestReplicaConfirmsWithNewLeaderWhenOldOnePauses(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		time.Sleep(time.Second)
--- a/internal/coordination/replica/forward_test.go
+++ b/internal/coordination/replica/forward_test.go
@@ -56,7 +56,7 @@
 
 // Guards against a command that waits for a paused leader until its deadline although
 // another replica leads.
-func TestCommandLeavesAFrozenLeader(t *testing.T) {
+func TestCommandMovesFromPausedLeader(t *testing.T) {
 	cases := map[string]struct {
 		command  *controlpb.Command
 		answered bool
@@ -116,7 +116,7 @@
 }
 
 // Guards against a wrong "not run" while an earlier attempt may still be committed.
-func TestRefusalSaysNothingOfAnEarlierTry(t *testing.T) {
+func TestRejectionLeavesEarlierAttemptUnknown(t *testing.T) {
 	lost := failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, nil, "answer lost")
 	cases := map[string]struct {
 		command *controlpb.Command
--- a/internal/coordination/replica/members_test.go
+++ b/internal/coordination/replica/members_test.go
@@ -57,7 +57,7 @@
 
 // Guards against a replacement that a lost leader began and nobody completes, so that
 // the new replica never votes.
-func TestChangeThatALeaderLeftIsEndedByTheNext(t *testing.T) {
+func TestNextLeaderCompletesMemberChange(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		added := m.start("i4")
--- a/internal/coordination/replica/propose_test.go
+++ b/internal/coordination/replica/propose_test.go
@@ -10,7 +10,7 @@
 
 // Guards against a "not run" for an entry that was overwritten here and is committed
 // later by another leader.
-func TestAnEntryThatGaveWayIsNotSaidToBeNotRun(t *testing.T) {
+func TestOverwrittenEntryHasUnknownOutcome(t *testing.T) {
 	is := is.New(t)
 	c := &core{pending: map[uint64]*proposal{}}
 	first := &proposal{term: 2, done: make(chan outcome, 1)}
--- a/internal/coordination/replica/replay_test.go
+++ b/internal/coordination/replica/replay_test.go
@@ -40,7 +40,7 @@
 
 // Guards against a cluster without elections while the replicas apply the entries on
 // their disks.
-func TestReplicaTakesPartWhileItApplies(t *testing.T) {
+func TestReplicaParticipatesDuringReplay(t *testing.T) {
 	const maxEntriesPerPart = 256
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 100_000
@@ -78,7 +78,7 @@
 
 // Guards against accepted work reported as unknown by a leader that has applied only a
 // part of its log.
-func TestStartInPartsEndsWhole(t *testing.T) {
+func TestReplayInPartsAppliesEverything(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 100_000
 		commitChanges(is, startAll(m), 1_500)
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -40,7 +40,7 @@
 
 // The leader loses power directly after it answered. What it acknowledged must be found
 // at the next leader and, after a restart, at the old one.
-func TestAcknowledgedSurvivesTheLeader(t *testing.T) {
+func TestAcknowledgedCommandsSurviveLeaderLoss(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		for i := range 6 {
 			old := m.leaderOrStart()
@@ -68,7 +68,7 @@
 
 // Guards against a partitioned leader that serves an old state, or acknowledges what is
 // not committed.
-func TestCutOffLeaderNeitherAnswersNorConfirms(t *testing.T) {
+func TestPartitionedLeaderNeitherServesNorConfirms(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		propose(is, old, "before")
@@ -121,7 +121,7 @@
 
 // Guards against a leader that ends because of a full disk, or confirms what is not on
 // its disk.
-func TestLeaderWithAFullDiskLeavesTheLogAndComesBack(t *testing.T) {
+func TestLeaderWithFullDiskLeavesLogAndRejoins(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		propose(is, old, "before")
@@ -151,7 +151,7 @@
 
 // Guards against a leader that ends with a disk failure because it had no descriptor
 // left for a snapshot.
-func TestLeaderOutOfDescriptorsLeadsOn(t *testing.T) {
+func TestLeaderWithoutDescriptorsKeepsLeading(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.entries = 5
 		leader := startAll(m)
@@ -170,7 +170,7 @@
 
 // Guards against a gap in the log, from a snapshot that was marked before a deferred
 // append was written.
-func TestSnapshotIsNotInstalledAheadOfAHeldAppend(t *testing.T) {
+func TestSnapshotIsNotInstalledBeforeDeferredAppend(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		leader := startAll(m)
 		propose(is, leader, "before")
@@ -191,7 +191,7 @@
 
 // A replica starts on a full disk. It must wait for free space instead of ending, and
 // then take part.
-func TestStartOnAFullDiskWaitsForRoom(t *testing.T) {
+func TestStartOnFullDiskWaitsForFreeSpace(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		m.disks["i3"] = disktest.New()
 		m.disks["i3"].FreeBytes = 0
@@ -238,7 +238,7 @@
 }
 
 // Guards against a healthy leader that is deposed because a follower itself was paused.
-func TestOwnStandstillIsNoSilenceOfTheLeader(t *testing.T) {
+func TestOwnPauseStartsNoElection(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		follower := m.other(startAll(m))
 		for follower.Leader() == "" {
@@ -260,7 +260,7 @@
 
 // A leader that is asked to stop transfers leadership first: callers wait for
 // milliseconds instead of an election timeout.
-func TestGracefulStopHandsOver(t *testing.T) {
+func TestGracefulStopTransfersLeadership(t *testing.T) {
 	inBubble(t, func(is *is.I, m *mesh) {
 		old := startAll(m)
 		propose(is, old, "before")
--- a/internal/coordination/softstate/exchange_test.go
+++ b/internal/coordination/softstate/exchange_test.go
@@ -154,7 +154,7 @@
 // A worker announces to one of nine instances that it is leaving. Every instance must
 // know within a fraction of a second, or its callers are sent to a worker that is
 // stopping. The documented limit is a few seconds.
-func TestLeavingIsKnownEverywhereAtOnce(t *testing.T) {
+func TestLeavingIsPropagatedWithinMilliseconds(t *testing.T) {
 	bubble(t, func(is *is.I, ctx context.Context) {
 		c := newCluster(ctx, 9)
 		advance(time.Second)
--- a/internal/coordination/standby/standby_test.go
+++ b/internal/coordination/standby/standby_test.go
@@ -35,7 +35,7 @@
 // followed state gets older. An instance that continued to follow that state would lose its
 // source a freshness bound later and refuse callers with stale_state, although its source
 // has a fresh state all the time. It must reattach and receive the replica's state.
-func TestFollowersGoOnWhenTheReplicaIsFreshAgain(t *testing.T) {
+func TestFollowersReattachWhenReplicaIsFreshAgain(t *testing.T) {
 	inBubble(t, func(is *is.I, ctx context.Context) {
 		testNode := startTestNode(ctx)
 		diskless := testNode.startFollower(ctx, "front")
@@ -59,7 +59,7 @@
 // The replica takes over while the follower's state is served to an instance. The session
 // must end while that state is still fresh, with an error that invites the instance to
 // follow the source again.
-func TestSessionOfTheFollowerEndsWithAReason(t *testing.T) {
+func TestFollowerSessionEndsWithReason(t *testing.T) {
 	inBubble(t, func(is *is.I, ctx context.Context) {
 		testNode := startTestNode(ctx)
 		time.Sleep(bound)
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -32,7 +32,7 @@
 
 // Two snapshots are retained. After power is lost during a save, the newest completed
 // snapshot is valid and the one being written is not loaded.
-func TestSaveLastsAndKeepsTwo(t *testing.T) {
+func TestSaveIsDurableAndKeepsTwo(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	f := open(t, files)
--- a/internal/state/store/idempotent_test.go
+++ b/internal/state/store/idempotent_test.go
@@ -13,7 +13,7 @@
 // one up to a caller's timeout later and after other commands. The second copy must change
 // nothing and get the result of the first, or work would run twice or a workflow would be
 // cancelled without cause.
-func TestSecondRunOfAnIdempotentCommandChangesNothing(t *testing.T) {
+func TestRepeatedIdempotentCommandChangesNothing(t *testing.T) {
 	workflow := func(id, queue string) *controlpb.Workflow {
 		return &controlpb.Workflow{Id: id, Queue: queue, Customer: "c", MaxAttempts: 1, Steps: []*controlpb.Step{{Count: 2, CoresMilli: 1}}}
 	}
--- a/internal/state/store/plan_cost_test.go
+++ b/internal/state/store/plan_cost_test.go
@@ -12,7 +12,7 @@
 // all accelerators in use to check that a few are free, entries that place work dominated
 // log replay (0.7 ms of CPU time per entry), and after a power loss of all core replicas
 // no leader was elected for 2 s.
-func TestPlanCostsWhatItPlaces(t *testing.T) {
+func TestPlanCostIsIndependentOfRunningTasks(t *testing.T) {
 	is := is.New(t)
 	idle, busy := allocationsOfPlan(t, 60), allocationsOfPlan(t, replayWorkers*replayAccelerators)
 	t.Logf("allocations of a plan: %.0f beside 60 tasks, %.0f beside %d", idle, busy, replayWorkers*replayAccelerators)
--- a/internal/state/store/state_test.go
+++ b/internal/state/store/state_test.go
@@ -125,7 +125,7 @@
 
 // The oldest results of a long session are evicted. A resend of such a command can't be
 // distinguished from a new command, so it is refused instead of applied.
-func TestSessionForgetsOnlyWithRefusal(t *testing.T) {
+func TestResendOfEvictedResultIsRefused(t *testing.T) {
 	is := is.New(t)
 	state := store.New()
 	for sequence := uint64(1); sequence <= 100; sequence++ {
--- a/internal/state/wal/wal_test.go
+++ b/internal/state/wal/wal_test.go
@@ -38,7 +38,7 @@
 // Power is lost during a write. Whatever part of it reached the disk, the next start finds
 // all records synced before and not the torn one; a log that kept a partial record could
 // never be opened again.
-func TestTornTailIsCut(t *testing.T) {
+func TestTornTailIsTruncated(t *testing.T) {
 	is := is.New(t)
 	files := disktest.New()
 	log, _ := open(t, files, 0)
@@ -148,7 +148,7 @@
 // The disk fills up in the middle of a record and has free space again later. The partial
 // record must be removed: a restart finds only acknowledged entries, and the same append
 // succeeds without a restart once there is space.
-func TestFullDiskRefusesUntilThereIsRoom(t *testing.T) {
+func TestAppendsResumeAfterDiskFull(t *testing.T) {
 	for name, segment := range map[string]int64{"in a segment": 0, "at a new segment": 40} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -174,7 +174,7 @@
 // that for a failed disk, and must not continue in the previous segment: the new segment's
 // file may already hold the older hard state, which would then follow a newer one, and the
 // replica could vote twice in one term.
-func TestMissingDescriptorRefusesUntilThereIsOne(t *testing.T) {
+func TestAppendsResumeAfterOutOfDescriptors(t *testing.T) {
 	const segment = 200
 	for opens := range 3 { // the new segment, its directory, the new segment again
 		t.Run(fmt.Sprint("after opening ", opens), func(t *testing.T) {
--- a/internal/transport/connections/connections_test.go
+++ b/internal/transport/connections/connections_test.go
@@ -14,7 +14,7 @@
 )
 
 // Connections must not use up the descriptors that files and other instances need.
-func TestShareLeavesRoomForFiles(t *testing.T) {
+func TestAllocationReservesDescriptorsForFiles(t *testing.T) {
 	for _, limit := range []int{64, 256, 1024, 4096, 4100, 1 << 20} {
 		for _, dialsUpstreams := range []bool{false, true} {
 			is := is.New(t)
@@ -29,7 +29,7 @@
 
 // A leader with the designed 1,900 workers must have a descriptor for a poll of each beside
 // 256 commands.
-func TestShareHoldsALookAtEveryWorker(t *testing.T) {
+func TestAllocationCoversAPollOfEveryWorker(t *testing.T) {
 	const workers, commands = 1900, 256
 	is.New(t).True(ShareOf(4096, true).Dialled >= workers+commands)
 }
@@ -104,7 +104,7 @@
 
 // Callers that keep connections open could exhaust the instance's descriptors. Connections
 // beyond the limit must be closed at once.
-func TestCallersBeyondTheBoundAreTurnedAway(t *testing.T) {
+func TestConnectionsOverLimitAreRefused(t *testing.T) {
 	is := is.New(t)
 	g := NewGroup("accepted_test", 2, logrus.New())
 	l := chanListener{make(chan net.Conn, 4)}
--- a/internal/transport/httpapi/sink_test.go
+++ b/internal/transport/httpapi/sink_test.go
@@ -16,7 +16,7 @@
 // A large answer is truncated while it streams to the caller. Its status has been sent,
 // so only the aborted connection can report it: the caller must get an error and never a
 // short answer that appears complete.
-func TestCutStreamNeverLooksWhole(t *testing.T) {
+func TestTruncatedStreamIsAnErrorForTheCaller(t *testing.T) {
 	truncated := failure.Ran(failure.TruncatedAnswer, failure.NotRunFalse, nil, "cut")
 	cases := []struct {
 		name     string
--- a/internal/transport/logsink/logsink_test.go
+++ b/internal/transport/logsink/logsink_test.go
@@ -70,7 +70,7 @@
 
 // Many lines are queued, and the pipe is shared with other processes. Writes longer than
 // PIPE_BUF could be interleaved with theirs in the middle of a line.
-func TestWritesAreWholeLinesThatAPipeTakes(t *testing.T) {
+func TestWritesAreWholeLinesWithinPipeBuf(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		out := &sizeRecorder{}
--- a/internal/transport/peers/link_test.go
+++ b/internal/transport/peers/link_test.go
@@ -49,7 +49,7 @@
 // A read pends on a stream while its link is closed. Unless the read ends first, it
 // busy-loops until yamux marks the stream as closed; two such reads on two threads keep
 // that from happening and the process hangs.
-func TestReadsOfAClosingLinkEndBeforeItsStreams(t *testing.T) {
+func TestPendingReadsEndWhenLinkCloses(t *testing.T) {
 	l, readErr, _ := newLinkWithPendingRead(t)
 	go l.Close()
 	expectReadTimeout(t, readErr)
--- a/internal/transport/peers/peers_test.go
+++ b/internal/transport/peers/peers_test.go
@@ -19,7 +19,7 @@
 // process whose control thread is stuck. When the caller's context ends, a call must
 // return with an unknown outcome and a follower must return; otherwise a stopping
 // instance would wait for its peer.
-func TestSilentPeerDoesNotOutliveContext(t *testing.T) {
+func TestCallEndsWithContextWhenPeerIsUnresponsive(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -81,7 +81,7 @@
 
 // An accept fails for lack of file descriptors. The instance must go on accepting, or the
 // others could not reach it again.
-func TestListenerOutlivesAFailedAccept(t *testing.T) {
+func TestServeContinuesAfterFailedAccept(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
--- a/internal/transport/upstream/fuzz_test.go
+++ b/internal/transport/upstream/fuzz_test.go
@@ -25,7 +25,7 @@
 
 // An answer that is accepted as complete must be rejected without its last byte, whatever
 // the minion sends.
-func FuzzCutAnswerNeverLooksWhole(f *testing.F) {
+func FuzzTruncatedAnswerIsRejected(f *testing.F) {
 	f.Add(okResponse("Content-Length: 3\r\n\r\nash"))
 	f.Add(okResponse("Transfer-Encoding: chunked\r\n\r\n3\r\nash\r\n0\r\n\r\n"))
 	f.Add(okResponse("Connection: close\r\n\r\nash"))
--- a/internal/transport/upstream/serve_test.go
+++ b/internal/transport/upstream/serve_test.go
@@ -290,7 +290,7 @@
 
 // Idle connections to every worker ever contacted would exhaust the process's file
 // descriptors. All commands must succeed within the connection limit.
-func TestCommandsToManyWorkersStayWithinTheBound(t *testing.T) {
+func TestCommandsToManyWorkersStayWithinConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	const workers, rounds, concurrency, maxConnections = 30, 3, 4, 16
 	var addresses []string
