--- a/internal/transport/upstream/serve_test.go
+++ b/internal/transport/upstream/serve_test.go
@@ -290,7 +290,7 @@
 
 // Idle connections to every worker ever contacted would exhaust the process's file
 // descriptors. All commands must succeed within the connection limit.
-func TestCommandsToManyWorkersStayWithinTheBound(t *testing.T) {
+func TestCommandsToManyWorkersStayWithinConnectionLimit(t *testing.T) {
 	is := is.New(t)
 	const workers, rounds, concurrency, maxConnections = 30, 3, 4, 16
 	var addresses []string
@@ -301,7 +301,7 @@
 		t.Cleanup(server.Close)
 		addresses = append(addresses, server.Listener.Addr().String())
 	}
-	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: maxConnections}
+	limits := ConnectionLimits{DialTimeout: dialTimeout, MaxIdlePerHost: maxIdlePerHost, IdleTimeout: idleTimeout, MaxIdle: maxConnections}
 	client := &Client{http: NewHTTP(traffic, connections.NewGroup("many_workers_test", maxConnections, nil), limits)}
 	slots := make(chan struct{}, concurrency)
 	var group sync.WaitGroup
