--- a/internal/app/announcements.go
+++ b/internal/app/announcements.go
@@ -68,7 +68,7 @@
 // departure must be known to the leader as leaving soon after it gets the
 // acknowledgement.
 func (a *announcements) Announce(upstream *peerpb.Upstream) error {
-	if err := a.node.Fresh(); err != nil {
+	if err := a.node.CheckFresh(); err != nil {
 		return err
 	}
 	a.workers.Store(int64(len(a.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER))))
@@ -82,7 +82,7 @@
 // Depart records that a worker has departed, under a version higher than those of its
 // announcements. It fails while this instance is not fresh.
 func (a *announcements) Depart(id string) error {
-	if err := a.node.Fresh(); err != nil {
+	if err := a.node.CheckFresh(); err != nil {
 		return err
 	}
 	a.logger.WithField("worker", id).Info("worker departed")
--- a/internal/app/announcements_test.go
+++ b/internal/app/announcements_test.go
@@ -16,8 +16,8 @@
 // freshNode is a node that is fresh and knows the leader.
 type freshNode struct{ control.Node }
 
-func (freshNode) Fresh() error   { return nil }
-func (freshNode) Leader() string { return "leader" }
+func (freshNode) CheckFresh() error { return nil }
+func (freshNode) Leader() string    { return "leader" }
 
 // Guards against redirecting more workers to the leader than it accepts connections:
 // those it refuses would come back and be redirected to it again.
--- a/internal/app/changes.go
+++ b/internal/app/changes.go
@@ -90,7 +90,7 @@
 
 func currentView(s *settings.Settings, log control.Log, registry *membership.Registry) view {
 	current := view{leader: log.Leader(), revision: log.State().Revision()}
-	if err := log.Fresh(); err != nil {
+	if err := log.CheckFresh(); err != nil {
 		current.notReady = failure.From(err).Code
 	}
 	for _, instance := range registry.Instances(max(s.Control.FreshnessBound, minLoggedSilence)) {
--- a/internal/app/credits.go
+++ b/internal/app/credits.go
@@ -31,7 +31,7 @@
 	tracker := creditmembers.NewTracker(s.Control.FreshnessBound)
 	background(lifecycle, func(ctx context.Context) {
 		control.Every(ctx, creditMembersInterval, func() {
-			if !log.IsLeader() || log.Fresh() != nil {
+			if !log.IsLeader() || log.CheckFresh() != nil {
 				tracker.Reset()
 				return
 			}
--- a/internal/app/leased.go
+++ b/internal/app/leased.go
@@ -68,7 +68,7 @@
 		logger.WithField("requests", "draining").Info("stop")
 		stopping.Store(true)
 		if s.Leased.Callers.IsValid() && !failed.Load() {
-			control.Pause(ctx, s.Stop.Notice)
+			control.Sleep(ctx, s.Stop.Notice)
 		}
 		grace, cancel := context.WithTimeout(ctx, s.Stop.Grace)
 		defer cancel()
--- a/internal/app/softstate.go
+++ b/internal/app/softstate.go
@@ -63,7 +63,7 @@
 		DataCentre:  s.settings.Instance.DataCentre,
 		Applied:     state.Index(),
 		Revision:    state.Revision(),
-		Ready:       s.node.Fresh() == nil,
+		Ready:       s.node.CheckFresh() == nil,
 		HttpAddress: s.settings.Instance.ListenHTTP.String(),
 		LogRole:     s.node.Role(),
 		Replica:     s.settings.Instance.DataFolder != "",
--- a/internal/app/stop.go
+++ b/internal/app/stop.go
@@ -50,7 +50,7 @@
 	}
 	ctx, cancel := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer cancel()
-	control.Pause(ctx, g.settings.Notice)
+	control.Sleep(ctx, g.settings.Notice)
 	grace, cancelGrace := context.WithTimeout(ctx, g.settings.Grace)
 	defer cancelGrace()
 	if g.web.Shutdown(grace) == nil {
--- a/internal/coordination/claims/claim.go
+++ b/internal/coordination/claims/claim.go
@@ -105,7 +105,7 @@
 		if err == nil {
 			return result.Claims, nil
 		}
-		if failure.From(err).NotRun == failure.NotRunTrue || !control.Pause(ctx, claimRetryInterval) {
+		if failure.From(err).NotRun == failure.NotRunTrue || !control.Sleep(ctx, claimRetryInterval) {
 			return nil, err
 		}
 	}
@@ -133,7 +133,7 @@
 			if _, _, err := e.settles.do(e.logCtx, settle); err == nil {
 				return
 			}
-			if !control.Pause(e.logCtx, settleRetryInterval) {
+			if !control.Sleep(e.logCtx, settleRetryInterval) {
 				return
 			}
 		}
--- a/internal/coordination/claims/executor.go
+++ b/internal/coordination/claims/executor.go
@@ -50,7 +50,7 @@
 	State() *store.State
 	// Changed returns a channel that is closed at the next change of the state.
 	Changed() <-chan struct{}
-	Fresh() error
+	CheckFresh() error
 	Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error)
 }
 
@@ -123,7 +123,7 @@
 	if !request.KeyGiven {
 		request.Key = e.newKey()
 	}
-	if err := e.control.Fresh(); err != nil {
+	if err := e.control.CheckFresh(); err != nil {
 		return nil, e.refusalError(request, err)
 	}
 	service, ok := e.control.State().Service(request.Service)
--- a/internal/coordination/claims/fakes_test.go
+++ b/internal/coordination/claims/fakes_test.go
@@ -63,7 +63,7 @@
 	return l.changed
 }
 
-func (l *fakeLog) Fresh() error { return l.fresh }
+func (l *fakeLog) CheckFresh() error { return l.fresh }
 
 func (l *fakeLog) Propose(_ context.Context, command *controlpb.Command) (*controlpb.Result, error) {
 	time.Sleep(commitDelay)
--- a/internal/coordination/control/control.go
+++ b/internal/coordination/control/control.go
@@ -18,10 +18,10 @@
 type Log interface {
 	// State returns the newest applied state. Its index never decreases.
 	State() *store.State
-	// Fresh fails with stale_state while the state is older than the freshness bound: a
+	// CheckFresh fails with stale_state while the state is older than the freshness bound: a
 	// partitioned instance must reject requests that it would otherwise admit under
 	// rules that have since been replaced.
-	Fresh() error
+	CheckFresh() error
 	// Changed returns a channel that is closed at the next change of the state.
 	Changed() <-chan struct{}
 	// Propose commits a command, through the leader, and returns its result.
@@ -112,8 +112,8 @@
 	return AwaitIndex(ctx, log, result.Index)
 }
 
-// Pause sleeps between two attempts. It returns false if ctx ends first.
-func Pause(ctx context.Context, duration time.Duration) bool {
+// Sleep sleeps between two attempts. It returns false if ctx ends first.
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
--- a/internal/coordination/dispatch/controller.go
+++ b/internal/coordination/dispatch/controller.go
@@ -89,7 +89,7 @@
 			return
 		case <-changed:
 		case <-c.dispatcher.Wake():
-			control.Pause(ctx, batchDelay)
+			control.Sleep(ctx, batchDelay)
 		case <-timer.C:
 		}
 	}
--- a/internal/coordination/dispatch/dispatch.go
+++ b/internal/coordination/dispatch/dispatch.go
@@ -39,9 +39,9 @@
 // Control is the part of the replicated log that dispatch uses.
 type Control interface {
 	State() *store.State
-	// Fresh returns an error if this instance's leadership was not confirmed within
+	// CheckFresh returns an error if this instance's leadership was not confirmed within
 	// the freshness bound.
-	Fresh() error
+	CheckFresh() error
 	Propose(ctx context.Context, command *controlpb.Command) (*controlpb.Result, error)
 }
 
@@ -151,7 +151,7 @@
 // because leadership is checked after them: gang.StopWait assumes that the announcement
 // named by a command is not newer than a time at which this instance certainly led.
 func (d *Dispatcher) Reconcile(ctx context.Context, workers []*peerpb.Upstream) {
-	if d.control.Fresh() != nil {
+	if d.control.CheckFresh() != nil {
 		return
 	}
 	state := d.control.State()
--- a/internal/coordination/dispatch/dispatch_test.go
+++ b/internal/coordination/dispatch/dispatch_test.go
@@ -33,7 +33,7 @@
 func (l *fakeLog) IsLeader() bool           { return !l.follower }
 func (l *fakeLog) Changed() <-chan struct{} { return l.changed }
 
-func (l *fakeLog) Fresh() error {
+func (l *fakeLog) CheckFresh() error {
 	if l.stale {
 		return failure.New(failure.StaleState, "leadership not confirmed by a quorum")
 	}
--- a/internal/coordination/dispatch/leases/cluster_test.go
+++ b/internal/coordination/dispatch/leases/cluster_test.go
@@ -71,7 +71,7 @@
 	return c.term
 }
 
-func (c *fakeCluster) Fresh() error {
+func (c *fakeCluster) CheckFresh() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.fresh {
--- a/internal/coordination/dispatch/leases/command.go
+++ b/internal/coordination/dispatch/leases/command.go
@@ -273,7 +273,7 @@
 			continue
 		}
 		if polled {
-			control.Pause(ctx, reportRetryDelay)
+			control.Sleep(ctx, reportRetryDelay)
 		}
 		if err := s.sendPoll(ctx, s.plainPoll()); err != nil {
 			return nil, err
--- a/internal/coordination/dispatch/leases/instance_model_test.go
+++ b/internal/coordination/dispatch/leases/instance_model_test.go
@@ -127,7 +127,7 @@
 	time.Sleep(time.Until(until))
 }
 
-func (i *instance) Fresh() error {
+func (i *instance) CheckFresh() error {
 	i.simulation.mu.Lock()
 	defer i.simulation.mu.Unlock()
 	if !i.believesLeading(freshnessBound) {
--- a/internal/coordination/dispatch/leases/manager.go
+++ b/internal/coordination/dispatch/leases/manager.go
@@ -60,7 +60,7 @@
 // Log is the part of the replicated log that Manager uses.
 type Log interface {
 	State() *store.State
-	Fresh() error
+	CheckFresh() error
 	IsLeader() bool
 	// Term is the number of the current leadership. It serves as the fencing token.
 	Term() uint64
@@ -213,7 +213,7 @@
 	if !m.log.IsLeader() || m.log.Term() != token {
 		return failure.New(failure.NotReady, "this instance is not the leader")
 	}
-	return m.log.Fresh()
+	return m.log.CheckFresh()
 }
 
 // recordRates records the progress rates of gang members on a worker.
--- a/internal/coordination/dispatch/leases/session.go
+++ b/internal/coordination/dispatch/leases/session.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		if err := s.poll(ctx); err != nil {
-			control.Pause(ctx, pollRetryDelay)
+			control.Sleep(ctx, pollRetryDelay)
 			continue
 		}
 		s.awaitCommit(ctx)
--- a/internal/coordination/feed/encoding_test.go
+++ b/internal/coordination/feed/encoding_test.go
@@ -95,7 +95,7 @@
 }
 
 func (p *pipe) pingEvery(interval time.Duration) {
-	for number := uint64(2); control.Pause(p.ctx, interval); number++ {
+	for number := uint64(2); control.Sleep(p.ctx, interval); number++ {
 		select {
 		case <-p.ctx.Done():
 		case p.pings <- &peerpb.FollowPing{Number: number, Taken: p.acknowledged()}:
--- a/internal/coordination/follower/follower.go
+++ b/internal/coordination/follower/follower.go
@@ -119,9 +119,9 @@
 	return age, nil
 }
 
-// Fresh fails while the control state is older than the freshness bound or has not
+// CheckFresh fails while the control state is older than the freshness bound or has not
 // been confirmed since the start.
-func (f *Follower) Fresh() error {
+func (f *Follower) CheckFresh() error {
 	_, err := f.Age()
 	return err
 }
--- a/internal/coordination/follower/follower_test.go
+++ b/internal/coordination/follower/follower_test.go
@@ -27,24 +27,24 @@
 		m.setCutBoth("v", "r01", true)
 		f := m.start(ctx, relay(1))
 		advance(time.Second)
-		is.True(failure.Is(f.Fresh(), failure.StaleState)) // nothing confirmed yet
+		is.True(failure.Is(f.CheckFresh(), failure.StaleState)) // nothing confirmed yet
 		m.setCutBoth("v", "r01", false)
 		v.change()
 		advance(2 * maxRetryDelay)
-		is.NoErr(f.Fresh())
+		is.NoErr(f.CheckFresh())
 		is.Equal(f.State().Revision(), uint64(1))
 
 		m.setCutBoth("v", "r01", true)
 		v.change()
 		advance(bound)
-		is.True(failure.Is(f.Fresh(), failure.StaleState))
-		is.Equal(failure.From(f.Fresh()).NotRun, failure.NotRunTrue)
+		is.True(failure.Is(f.CheckFresh(), failure.StaleState))
+		is.Equal(failure.From(f.CheckFresh()).NotRun, failure.NotRunTrue)
 		is.Equal(f.State().Revision(), uint64(1))
 
 		advance(time.Hour)
 		m.setCutBoth("v", "r01", false)
 		advance(2 * maxRetryDelay)
-		is.NoErr(f.Fresh())
+		is.NoErr(f.CheckFresh())
 		is.Equal(f.State().Revision(), uint64(2))
 	})
 }
@@ -68,9 +68,9 @@
 		lastPing := time.Now()
 		m.setCut("v", "r01", false)
 		advance(time.Millisecond)
-		is.NoErr(f.Fresh())
+		is.NoErr(f.CheckFresh())
 		advance(time.Until(lastPing.Add(bound)))
-		is.True(failure.Is(f.Fresh(), failure.StaleState))
+		is.True(failure.Is(f.CheckFresh(), failure.StaleState))
 	})
 }
 
@@ -91,13 +91,13 @@
 		v.change()
 		advance(5 * time.Second)
 		is.Equal(third.Path(), []string{"v", "r01", "r02", "r03"})
-		is.NoErr(third.Fresh())
+		is.NoErr(third.CheckFresh())
 		is.Equal(third.State().Revision(), uint64(1))
 
 		m.setCutBoth("v", "r01", true)
 		advance(bound)
 		for _, f := range []*Follower{first, second, third} {
-			is.True(failure.Is(f.Fresh(), failure.StaleState))
+			is.True(failure.Is(f.CheckFresh(), failure.StaleState))
 		}
 	})
 }
@@ -145,7 +145,7 @@
 		v.Publish(before.State())
 		f := m.start(ctx, relay(1))
 		advance(time.Second)
-		is.NoErr(f.Fresh())
+		is.NoErr(f.CheckFresh())
 		is.Equal(f.State().Revision(), uint64(50))
 		v.change()
 		advance(time.Second)
@@ -193,7 +193,7 @@
 			is.Equal(err == nil, test.code == "")
 			is.True(err == nil || failure.Is(err, test.code))
 			is.Equal(f.State().Index(), test.index)
-			is.Equal(f.Fresh() == nil, test.fresh)
+			is.Equal(f.CheckFresh() == nil, test.fresh)
 		})
 	}
 }
@@ -235,7 +235,7 @@
 	advance(time.Second)
 	direct := 0
 	for _, f := range followers {
-		is.NoErr(f.Fresh())
+		is.NoErr(f.CheckFresh())
 		is.Equal(f.State().Revision(), uint64(1))
 		if len(f.Path()) == 2 {
 			direct++
--- a/internal/coordination/follower/followerlimit_test.go
+++ b/internal/coordination/follower/followerlimit_test.go
@@ -26,7 +26,7 @@
 func countFreshAfter(delay time.Duration, followers []*Follower) (fresh int) {
 	advance(delay)
 	for _, f := range followers {
-		if f.Fresh() == nil {
+		if f.CheckFresh() == nil {
 			fresh++
 		}
 	}
--- a/internal/coordination/follower/model_test.go
+++ b/internal/coordination/follower/model_test.go
@@ -54,7 +54,7 @@
 			return fmt.Sprintf("revision of %s decreased from %d to %d", w.names[i+1], w.lastRevisions[i], revision)
 		}
 		w.lastRevisions[i] = revision
-		if f.Fresh() != nil {
+		if f.CheckFresh() != nil {
 			continue
 		}
 		if int(revision) < len(w.accepted) && w.accepted[revision].Before(since) {
--- a/internal/coordination/follower/network_test.go
+++ b/internal/coordination/follower/network_test.go
@@ -287,7 +287,7 @@
 		delay = e.callDelays[to]
 		e.called = append(e.called, to)
 	})
-	if delay > 0 && !control.Pause(ctx, delay) {
+	if delay > 0 && !control.Sleep(ctx, delay) {
 		return nil, failure.Ran(failure.OutcomeUnknown, failure.NotRunUnknown, ctx.Err(), "answer of %s", to)
 	}
 	return e.reply(to)
--- a/internal/coordination/follower/propose.go
+++ b/internal/coordination/follower/propose.go
@@ -50,7 +50,7 @@
 	if hinted && pause == minRetryDelay {
 		return true
 	}
-	return control.Pause(ctx, f.jitter(pause))
+	return control.Sleep(ctx, f.jitter(pause))
 }
 
 // target is the instance to which a command is sent.
--- a/internal/coordination/follower/search.go
+++ b/internal/coordination/follower/search.go
@@ -37,7 +37,7 @@
 		if found := f.attachFirst(ctx, f.sources()); found != nil {
 			return found
 		}
-		if !control.Pause(ctx, f.jitter(pause)) {
+		if !control.Sleep(ctx, f.jitter(pause)) {
 			return nil
 		}
 	}
--- a/internal/coordination/follower/slowlink_test.go
+++ b/internal/coordination/follower/slowlink_test.go
@@ -76,7 +76,7 @@
 				continue
 			}
 			pending++
-			if f.Fresh() == nil {
+			if f.CheckFresh() == nil {
 				took[i] = time.Since(begin)
 			}
 		}
@@ -155,7 +155,7 @@
 		}
 		m.setCutBoth("v", "r01", true)
 		received := m.sentBy("v")
-		for f.Fresh() != nil {
+		for f.CheckFresh() != nil {
 			advance(100 * time.Millisecond)
 		}
 		t.Logf("%d bytes from the first source, %d from the second", received, m.sentBy("w"))
@@ -176,7 +176,7 @@
 		ready := func(followers ...*Follower) time.Duration {
 			begin := time.Now()
 			for _, f := range followers {
-				for f.Fresh() != nil && time.Since(begin) < time.Minute {
+				for f.CheckFresh() != nil && time.Since(begin) < time.Minute {
 					advance(50 * time.Millisecond)
 				}
 			}
@@ -222,6 +222,6 @@
 		took := time.Since(begin)
 		t.Logf("%d bytes in %v", proto.Size(replace), took)
 		is.True(took < time.Second)
-		is.NoErr(f.Fresh())
+		is.NoErr(f.CheckFresh())
 	})
 }
--- a/internal/coordination/replica/bootstrap_test.go
+++ b/internal/coordination/replica/bootstrap_test.go
@@ -26,14 +26,14 @@
 				rejoined := m.start(wiped)
 				time.Sleep(time.Minute)
 				is.True(!rejoined.Member())
-				is.True(rejoined.Fresh() != nil)
+				is.True(rejoined.CheckFresh() != nil)
 				is.Equal(rejoined.State().Index(), uint64(0))
 				propose(is, m.leader(), "meanwhile")
 
 				change := &peerpb.ChangeMembers{Add: wiped, Remove: wiped}
 				is.NoErr(m.leader().ChangeMembers(background(), change))
 				time.Sleep(2 * time.Second)
-				is.NoErr(rejoined.Fresh())
+				is.NoErr(rejoined.CheckFresh())
 				is.True(rejoined.State().Drained("w0"))
 				is.True(rejoined.State().Drained("meanwhile"))
 				is.Equal(len(m.leader().Status().Configuration.Members), 3)
--- a/internal/coordination/replica/confirm.go
+++ b/internal/coordination/replica/confirm.go
@@ -38,9 +38,9 @@
 	return age, nil
 }
 
-// Fresh returns an error if the state is older than the freshness bound: a partitioned
+// CheckFresh returns an error if the state is older than the freshness bound: a partitioned
 // replica, even a leader, would admit work under rules that have been replaced.
-func (r *Replica) Fresh() error {
+func (r *Replica) CheckFresh() error {
 	_, err := r.Age()
 	return err
 }
--- a/internal/coordination/replica/confirm_test.go
+++ b/internal/coordination/replica/confirm_test.go
@@ -30,8 +30,8 @@
 		is.True(age < time.Since(paused)) // confirmed by the new leader
 		for time.Since(paused) < 2*third.config.FreshnessBound {
 			time.Sleep(10 * time.Millisecond)
-			is.NoErr(next.Fresh())
-			is.NoErr(third.Fresh())
+			is.NoErr(next.CheckFresh())
+			is.NoErr(third.CheckFresh())
 		}
 	})
 }
--- a/internal/coordination/replica/forward_test.go
+++ b/internal/coordination/replica/forward_test.go
@@ -109,7 +109,7 @@
 		m.resume(old.config.Instance)
 		time.Sleep(2 * time.Second)
 		for _, r := range m.replicas {
-			is.NoErr(r.Fresh())
+			is.NoErr(r.CheckFresh())
 			is.Equal(len(r.State().Jobs()), 1)
 		}
 	})
--- a/internal/coordination/replica/fulldisk.go
+++ b/internal/coordination/replica/fulldisk.go
@@ -41,7 +41,7 @@
 		if !logged {
 			r.config.Logger.WithField("cause", err.Error()).Error(missingResource(err) + ": waiting to open the log")
 		}
-		if !control.Pause(ctx, openRetryPause) {
+		if !control.Sleep(ctx, openRetryPause) {
 			return nil, nil, err
 		}
 	}
--- a/internal/coordination/replica/links.go
+++ b/internal/coordination/replica/links.go
@@ -80,7 +80,7 @@
 func dial(ctx context.Context, peers Peers, peer string) control.MessageStream {
 	stream, err := peers.Messages(ctx, peer)
 	if err != nil {
-		control.Pause(ctx, redialPause)
+		control.Sleep(ctx, redialPause)
 		return nil
 	}
 	return stream
--- a/internal/coordination/replica/members.go
+++ b/internal/coordination/replica/members.go
@@ -125,7 +125,7 @@
 		if !r.IsLeader() {
 			return failure.New(failure.NotLeader, "leadership was lost while %s caught up", identity)
 		}
-		if !control.Pause(ctx, catchUpPollInterval) {
+		if !control.Sleep(ctx, catchUpPollInterval) {
 			return failure.Wrap(failure.NotCaughtUp, ctx.Err(), "%s did not catch up", identity)
 		}
 	}
--- a/internal/coordination/replica/propose.go
+++ b/internal/coordination/replica/propose.go
@@ -53,7 +53,7 @@
 			return attempts.FinalResult(result)
 		}
 		resend := attempts.RecordFailure(err) && !r.closed()
-		if !resend && !retryable(command, err) || !control.Pause(ctx, pauses.NextBackOff()) {
+		if !resend && !retryable(command, err) || !control.Sleep(ctx, pauses.NextBackOff()) {
 			return nil, attempts.FinalError(err)
 		}
 		if resend {
--- a/internal/coordination/replica/replay_test.go
+++ b/internal/coordination/replica/replay_test.go
@@ -92,7 +92,7 @@
 		for fresh := 0; fresh < len(voters); time.Sleep(time.Millisecond) {
 			fresh = 0
 			for _, voter := range voters {
-				if m.replicas[voter].Fresh() != nil {
+				if m.replicas[voter].CheckFresh() != nil {
 					continue
 				}
 				fresh++
--- a/internal/coordination/replica/replica_test.go
+++ b/internal/coordination/replica/replica_test.go
@@ -53,7 +53,7 @@
 			}
 			m.start(old.config.Instance)
 			time.Sleep(2 * time.Second)
-			is.NoErr(m.replicas[old.config.Instance].Fresh())
+			is.NoErr(m.replicas[old.config.Instance].CheckFresh())
 			is.Equal(m.replicas[old.config.Instance].State().Index(), m.leader().State().Index())
 		}
 	})
@@ -91,14 +91,14 @@
 			refused <- err
 		}()
 		time.Sleep(3 * time.Second)
-		is.True(failure.Is(old.Fresh(), failure.StaleState))
+		is.True(failure.Is(old.CheckFresh(), failure.StaleState))
 		is.True(old.Read(ctx) != nil)
 		m.setCut(old.config.Instance, false)
 		is.Equal(failure.From(<-refused).NotRun, failure.NotRunTrue)
 		// Another entry has been committed at the index of this one, so it never ran.
 		is.True(failure.Is(<-waiting, failure.NotLeader))
 		time.Sleep(3 * time.Second)
-		is.NoErr(old.Fresh())
+		is.NoErr(old.CheckFresh())
 		is.True(old.State().Drained("after"))
 		is.True(!old.State().Drained("lost"))
 	})
@@ -141,7 +141,7 @@
 		is.True(failure.Is(old.readAsLeader(background()), failure.NotReady))
 		m.setFreeSpace(old, -1)
 		time.Sleep(3 * time.Second)
-		is.NoErr(old.Fresh())
+		is.NoErr(old.CheckFresh())
 		is.True(old.State().Drained("after"))
 		is.True(!old.State().Drained("refused"))
 		is.True(failure.From(<-waiting).NotRun != failure.NotRunFalse)
@@ -202,7 +202,7 @@
 		m.setFreeSpace(late, -1)
 		propose(is, m.leader(), "after")
 		time.Sleep(5 * time.Second)
-		is.NoErr(late.Fresh())
+		is.NoErr(late.CheckFresh())
 		is.True(late.State().Drained("after"))
 	})
 }
--- a/internal/coordination/routing/router.go
+++ b/internal/coordination/routing/router.go
@@ -43,11 +43,11 @@
 	Call api.ServeCall
 }
 
-// Control gives read access to the control state. Fresh returns an error when
+// Control gives read access to the control state. CheckFresh returns an error when
 // the state has not been confirmed within the freshness bound.
 type Control interface {
 	State() *store.State
-	Fresh() error
+	CheckFresh() error
 }
 
 // Config configures a router.
@@ -55,7 +55,7 @@
 	Instance string
 	// QueueLength limits the queued requests of each customer and service.
 	QueueLength int
-	// FreshnessBound is the maximum age of the control state while Control.Fresh
+	// FreshnessBound is the maximum age of the control state while Control.CheckFresh
 	// returns nil. It is also the duration of the lease on credits.
 	FreshnessBound time.Duration
 	Now            func() time.Time
--- a/internal/coordination/routing/router_test.go
+++ b/internal/coordination/routing/router_test.go
@@ -28,7 +28,7 @@
 
 func (w *fakes) State() *store.State { return w.state }
 
-func (w *fakes) Fresh() error {
+func (w *fakes) CheckFresh() error {
 	if w.stale.Load() {
 		return failure.New(failure.StaleState, "not confirmed")
 	}
--- a/internal/coordination/routing/send.go
+++ b/internal/coordination/routing/send.go
@@ -133,7 +133,7 @@
 	state := r.control.State()
 	members := state.CreditMembers()
 	view := admission.View{Epoch: members.Epoch, Members: members.Members, Departed: members.Departed}
-	r.lease.update(r.config, r.control.Fresh() == nil, &view)
+	r.lease.update(r.config, r.control.CheckFresh() == nil, &view)
 	for _, minion := range r.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_MINION) {
 		if minion.Leaving || state.Drained(minion.Id) {
 			continue
--- a/internal/coordination/softstate/serve.go
+++ b/internal/coordination/softstate/serve.go
@@ -92,7 +92,7 @@
 			return err
 		}
 		if sent {
-			control.Pause(ctx, coalesceInterval)
+			control.Sleep(ctx, coalesceInterval)
 			continue
 		}
 		select {
--- a/internal/coordination/softstate/watch.go
+++ b/internal/coordination/softstate/watch.go
@@ -25,7 +25,7 @@
 			retry = minRetryDelay
 		}
 		streamsLost.Add(1)
-		control.Pause(ctx, x.jitter(retry))
+		control.Sleep(ctx, x.jitter(retry))
 		retry = min(2*retry, maxRetryDelay)
 	}
 }
--- a/internal/coordination/standby/standby.go
+++ b/internal/coordination/standby/standby.go
@@ -57,7 +57,7 @@
 func (n *Node) followWhileReplicaInactive(ctx context.Context) {
 	for ctx.Err() == nil {
 		if n.replicaActive() {
-			control.Pause(ctx, pollInterval)
+			control.Sleep(ctx, pollInterval)
 			continue
 		}
 		followerCtx, stop := context.WithCancel(ctx)
@@ -67,7 +67,7 @@
 			_ = n.follower.Run(followerCtx)
 		}()
 		for ctx.Err() == nil && !n.replicaActive() {
-			control.Pause(ctx, pollInterval)
+			control.Sleep(ctx, pollInterval)
 		}
 		stop()
 		if ctx.Err() == nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (n *Node) replicaActive() bool { return n.replica.Member() && n.replica.Fresh() == nil }
+func (n *Node) replicaActive() bool { return n.replica.Member() && n.replica.CheckFresh() == nil }
 
 // forwardChanges raises changed whenever the state of the replica or follower changes.
 func (n *Node) forwardChanges(ctx context.Context) {
@@ -102,13 +102,13 @@
 	return own
 }
 
-// Fresh fails while neither the replica nor the follower is fresh. The state that State
+// CheckFresh fails while neither the replica nor the follower is fresh. The state that State
 // returns is at least as new as that of a fresh one.
-func (n *Node) Fresh() error {
-	if n.replica.Fresh() == nil {
+func (n *Node) CheckFresh() error {
+	if n.replica.CheckFresh() == nil {
 		return nil
 	}
-	return n.follower.Fresh()
+	return n.follower.CheckFresh()
 }
 
 // Changed returns a channel that is closed at the next change of the state.
@@ -147,7 +147,7 @@
 // ServeFollow streams the log to another instance.
 func (n *Node) ServeFollow(ctx context.Context, follow *peerpb.Follow, stream control.Stream) error {
 	stopped := n.followerStopped.Next()
-	if n.replica.Fresh() == nil {
+	if n.replica.CheckFresh() == nil {
 		return n.replica.ServeFollow(ctx, follow, stream)
 	}
 	return n.serveFromFollower(ctx, stopped, follow, stream)
--- a/internal/coordination/standby/standby_test.go
+++ b/internal/coordination/standby/standby_test.go
@@ -40,7 +40,7 @@
 		testNode := startTestNode(ctx)
 		diskless := testNode.startFollower(ctx, "front")
 		time.Sleep(2 * bound)
-		is.NoErr(diskless.Fresh())
+		is.NoErr(diskless.CheckFresh())
 		is.Equal(testNode.follower.sessions.Load(), int64(1))
 
 		testNode.replica.catchUp(ctx)
@@ -51,7 +51,7 @@
 		is.Equal(testNode.replica.sessions.Load(), int64(1))
 		for time.Since(caughtUp) < 2*bound {
 			time.Sleep(10 * time.Millisecond)
-			is.NoErr(diskless.Fresh())
+			is.NoErr(diskless.CheckFresh())
 		}
 	})
 }
@@ -74,7 +74,7 @@
 		synctest.Wait()
 		is.Equal(len(ended), 1)
 		is.True(failure.Is(<-ended, failure.NotReady))
-		is.NoErr(testNode.follower.Fresh())
+		is.NoErr(testNode.follower.CheckFresh())
 	})
 }
 
@@ -164,7 +164,7 @@
 	return time.Since(*confirmed), nil
 }
 
-func (p *fakeNode) Fresh() error {
+func (p *fakeNode) CheckFresh() error {
 	_, err := p.Age()
 	return err
 }
--- a/internal/coordination/workflows/workflows.go
+++ b/internal/coordination/workflows/workflows.go
@@ -72,7 +72,7 @@
 // CheckReady fails while this instance would refuse all calls: with not_ready before
 // the first declarations, and with stale_state while its state may be outdated.
 func CheckReady(log control.Log) error {
-	if err := log.Fresh(); err != nil {
+	if err := log.CheckFresh(); err != nil {
 		return err
 	}
 	if log.State().Document() == nil {
--- a/internal/experiment/gangs/client.go
+++ b/internal/experiment/gangs/client.go
@@ -69,7 +69,7 @@
 		case failure.Infeasible, failure.BadRequest, failure.Conflict:
 			return nil, err
 		}
-		if !control.Pause(ctx, retryInterval) {
+		if !control.Sleep(ctx, retryInterval) {
 			return nil, err
 		}
 	}
--- a/internal/experiment/gangs/load.go
+++ b/internal/experiment/gangs/load.go
@@ -71,7 +71,7 @@
 	for number := 0; submitting.Err() == nil; number++ {
 		class := l.Borrower.Classes[random.IntN(len(l.Borrower.Classes))]
 		l.submit(ctx, l.Borrower, class, fmt.Sprintf("%s-%d", class, number))
-		control.Pause(submitting, time.Duration(random.Int64N(int64(2*l.Every))))
+		control.Sleep(submitting, time.Duration(random.Int64N(int64(2*l.Every))))
 	}
 }
 
@@ -85,11 +85,11 @@
 				ids = append(ids, id)
 			}
 		}
-		control.Pause(submitting, time.Duration(random.Int64N(int64(time.Second))))
+		control.Sleep(submitting, time.Duration(random.Int64N(int64(time.Second))))
 		for _, id := range ids[:len(ids)*3/4] {
 			l.cancel(ctx, l.Owner, id)
 		}
-		control.Pause(submitting, waveInterval)
+		control.Sleep(submitting, waveInterval)
 	}
 }
 
@@ -113,13 +113,13 @@
 
 func (l *Load) submitUrgent(ctx, submitting context.Context, _ *rand.Rand) {
 	for number := 0; submitting.Err() == nil; number++ {
-		control.Pause(submitting, urgentPause)
+		control.Sleep(submitting, urgentPause)
 		id := l.submit(ctx, l.Owner, l.Urgent, fmt.Sprintf("urgent-%d", number))
 		for id != "" && ctx.Err() == nil {
 			if job, err := l.Client.Job(ctx, l.Owner.Token, id); err == nil && job.Ended() {
 				break
 			}
-			control.Pause(ctx, pollInterval)
+			control.Sleep(ctx, pollInterval)
 		}
 	}
 }
--- a/internal/transport/httpapi/declarations.go
+++ b/internal/transport/httpapi/declarations.go
@@ -21,7 +21,7 @@
 // getDeclarations fails if the state of this instance is stale: the operator would
 // compare with declarations that are no longer in force, or with none at all.
 func (s *Server) getDeclarations(w http.ResponseWriter, _ *http.Request, _ string) {
-	if err := s.control.Fresh(); err != nil {
+	if err := s.control.CheckFresh(); err != nil {
 		writeError(w, err)
 		return
 	}
--- a/internal/transport/httpapi/jobs.go
+++ b/internal/transport/httpapi/jobs.go
@@ -56,7 +56,7 @@
 		writeError(w, err)
 		return
 	}
-	if err := s.control.Fresh(); err != nil {
+	if err := s.control.CheckFresh(); err != nil {
 		writeError(w, err)
 		return
 	}
--- a/internal/transport/httpapi/operators.go
+++ b/internal/transport/httpapi/operators.go
@@ -29,7 +29,7 @@
 	status.Revision = state.Revision()
 	status.Index = state.Index()
 	status.Leader = s.control.Leader()
-	status.Fresh = s.control.Fresh() == nil
+	status.Fresh = s.control.CheckFresh() == nil
 	status.Minions = len(s.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_MINION))
 	writeJSON(w, status)
 }
@@ -129,7 +129,7 @@
 		Leader:    s.control.Leader(),
 		Index:     state.Index(),
 		Revision:  state.Revision(),
-		Fresh:     s.control.Fresh() == nil,
+		Fresh:     s.control.CheckFresh() == nil,
 		Workers:   s.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER),
 		Minions:   s.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_MINION),
 		Instances: s.registry.Instances(s.settings.Control.FreshnessBound + announceGrace),
--- a/internal/transport/httpapi/readyourwrites_test.go
+++ b/internal/transport/httpapi/readyourwrites_test.go
@@ -22,9 +22,9 @@
 	lag time.Duration
 }
 
-func (f *follower) Fresh() error   { return nil }
-func (f *follower) Leader() string { return "i2" }
-func (f *follower) IsLeader() bool { return false }
+func (f *follower) CheckFresh() error { return nil }
+func (f *follower) Leader() string    { return "i2" }
+func (f *follower) IsLeader() bool    { return false }
 
 func (f *follower) Propose(_ context.Context, command *controlpb.Command) (*controlpb.Result, error) {
 	next, result := f.State().Apply(f.State().Index()+1, command)
--- a/internal/transport/httpapi/server.go
+++ b/internal/transport/httpapi/server.go
@@ -137,7 +137,7 @@
 		writeError(w, failure.New(failure.NotReady, "stopping"))
 		return
 	}
-	if err := s.control.Fresh(); err != nil {
+	if err := s.control.CheckFresh(); err != nil {
 		writeError(w, err)
 		return
 	}
--- a/internal/transport/httpapi/server_test.go
+++ b/internal/transport/httpapi/server_test.go
@@ -34,7 +34,7 @@
 }
 
 func (l *fakeLog) State() *store.State      { return l.state }
-func (l *fakeLog) Fresh() error             { return l.stale }
+func (l *fakeLog) CheckFresh() error        { return l.stale }
 func (l *fakeLog) Changed() <-chan struct{} { return l.changed }
 func (l *fakeLog) Leader() string           { return "i1" }
 func (l *fakeLog) IsLeader() bool           { return true }
--- a/internal/transport/httpapi/upstreams.go
+++ b/internal/transport/httpapi/upstreams.go
@@ -28,7 +28,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, s.setNextAnnouncement(&api.AnnounceReply{TryOther: s.control.Fresh() != nil}))
+	writeJSON(w, s.setNextAnnouncement(&api.AnnounceReply{TryOther: s.control.CheckFresh() != nil}))
 }
 
 func (s *Server) announce(r *http.Request, kind peerpb.UpstreamKind) (*api.Announcement, error) {
@@ -46,7 +46,7 @@
 // renewLeases returns the reply to a worker's announcement. Leases are renewed only if
 // this instance's state is fresh.
 func (s *Server) renewLeases(announcement *api.Announcement) *api.AnnounceReply {
-	fresh := s.control.Fresh() == nil
+	fresh := s.control.CheckFresh() == nil
 	reply := renewal.Answer(s.control.State(), fresh, announcement.Tasks)
 	reply.LeaseMs = s.settings.Upstreams.Lease.Milliseconds()
 	return s.setNextAnnouncement(reply)
--- a/internal/transport/httpapi/workflows.go
+++ b/internal/transport/httpapi/workflows.go
@@ -19,7 +19,7 @@
 		writeError(w, err)
 		return
 	}
-	if err := s.control.Fresh(); err != nil {
+	if err := s.control.CheckFresh(); err != nil {
 		writeError(w, err)
 		return
 	}
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -136,7 +136,7 @@
 			return failure.Wrap(failure.Unreachable, err, "accept on %s", listener.Addr())
 		default:
 			acceptsFailed.Add(1)
-			control.Pause(ctx, acceptRetryDelay)
+			control.Sleep(ctx, acceptRetryDelay)
 		}
 	}
 }
