--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -39,17 +39,17 @@
 // newShare divides the file descriptors that this process may open between dialled and
 // accepted connections. On the platform an instance without a replica of the log serves
 // callers but sends no commands to workers.
-func newShare(s *settings.Settings) connections.Share {
+func newShare(s *settings.Settings) connections.Allocation {
 	limit := s.Instance.Descriptors
 	if limit == 0 {
-		limit = connections.LimitOfProcess()
+		limit = connections.DescriptorLimit()
 	}
-	return connections.ShareOf(limit, s.Leased == nil || s.Instance.DataFolder != "")
+	return connections.Allocate(limit, s.Leased == nil || s.Instance.DataFolder != "")
 }
 
 // newAccepted returns the group that limits the connections of all callers and
 // upstreams together.
-func newAccepted(share connections.Share, logger *logrus.Logger) *connections.Group {
+func newAccepted(share connections.Allocation, logger *logrus.Logger) *connections.Group {
 	return connections.NewGroup("accepted", share.Accepted, logger)
 }
 
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -37,7 +37,7 @@
 // traffic counts the bytes of callers, operators and announcing upstreams together.
 var traffic = counted.NewCounters("http")
 
-func runHTTP(lifecycle fx.Lifecycle, s *settings.Settings, server *httpapi.Server, executor *claims.Executor, share connections.Share, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
+func runHTTP(lifecycle fx.Lifecycle, s *settings.Settings, server *httpapi.Server, executor *claims.Executor, share connections.Allocation, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
 	listener, err := net.Listen("tcp", s.Instance.ListenHTTP.String())
 	if err != nil {
 		return failure.Wrap(failure.BadSettings, err, "[instance] listen_http")
@@ -84,7 +84,7 @@
 }
 
 // effectiveSettings returns the settings in effect, as fields for the log.
-func effectiveSettings(s *settings.Settings, share connections.Share, address string) logrus.Fields {
+func effectiveSettings(s *settings.Settings, share connections.Allocation, address string) logrus.Fields {
 	fields := logrus.Fields{
 		"instance":            s.Instance.Name,
 		"http":                address,
@@ -97,7 +97,7 @@
 		"lease_ms":            s.Upstreams.Lease.Milliseconds(),
 		"announce_every_ms":   s.Upstreams.AnnounceEvery.Milliseconds(),
 		"grace_ms":            s.Stop.Grace.Milliseconds(),
-		"descriptors":         share.Limit,
+		"descriptors":         share.Descriptors,
 		"most_dialled":        share.Dialled,
 		"most_accepted":       share.Accepted,
 	}
--- a/internal/app/leased.go
+++ b/internal/app/leased.go
@@ -33,7 +33,7 @@
 // leasedTraffic counts the bytes of callers, operators and announcing workers together.
 var leasedTraffic = counted.NewCounters("leased")
 
-func runLeased(lifecycle fx.Lifecycle, s *settings.Settings, node control.Node, registry *membership.Registry, network *peers.Network, share connections.Share, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
+func runLeased(lifecycle fx.Lifecycle, s *settings.Settings, node control.Node, registry *membership.Registry, network *peers.Network, share connections.Allocation, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
 	if s.Leased == nil {
 		return nil
 	}
--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -47,7 +47,7 @@
 	mayLead bool
 }
 
-func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, share connections.Share, logger *logrus.Logger) *workers {
+func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, share connections.Allocation, logger *logrus.Logger) *workers {
 	log, leads := node.(leases.Log)
 	if s.Leased == nil || !leads {
 		return &workers{commands: client, registry: registry, mayLead: leads}
--- a/internal/transport/connections/connections_test.go
+++ b/internal/transport/connections/connections_test.go
@@ -18,7 +18,7 @@
 	for _, limit := range []int{64, 256, 1024, 4096, 4100, 1 << 20} {
 		for _, dialsUpstreams := range []bool{false, true} {
 			is := is.New(t)
-			s := ShareOf(limit, dialsUpstreams)
+			s := Allocate(limit, dialsUpstreams)
 			is.True(s.Dialled+s.Accepted <= limit-min(reservedDescriptors, limit/4))
 			is.True(s.Accepted > 0)
 			is.Equal(s.Dialled > 0, dialsUpstreams)
@@ -31,7 +31,7 @@
 // 256 commands.
 func TestShareHoldsALookAtEveryWorker(t *testing.T) {
 	const workers, commands = 1900, 256
-	is.New(t).True(ShareOf(4096, true).Dialled >= workers+commands)
+	is.New(t).True(Allocate(4096, true).Dialled >= workers+commands)
 }
 
 // dialPipe dials an in-memory connection whose remote end discards all data.
--- a/internal/transport/connections/share.go
+++ b/internal/transport/connections/share.go
@@ -19,21 +19,21 @@
 	idleDivisor = 2
 )
 
-// Share is the number of connections of each kind that a process may hold.
-type Share struct {
-	// Limit is the number of file descriptors of the process.
-	Limit int
+// Allocation is the number of connections of each kind that a process may hold.
+type Allocation struct {
+	// Descriptors is the number of file descriptors of the process.
+	Descriptors int
 	// Dialled is the limit of connections to upstreams; Idle of them may be idle.
 	Dialled, Idle int
 	// Accepted is the limit of connections from callers and upstreams.
 	Accepted int
 }
 
-// ShareOf divides the file descriptors of a process after the reserve. A process that
+// Allocate divides the file descriptors of a process after the reserve. A process that
 // dials no upstreams has all of them for accepted connections.
-func ShareOf(limit int, dialsUpstreams bool) Share {
+func Allocate(limit int, dialsUpstreams bool) Allocation {
 	available := limit - min(reservedDescriptors, limit/reserveDivisor)
-	s := Share{Limit: limit, Accepted: available}
+	s := Allocation{Descriptors: limit, Accepted: available}
 	if dialsUpstreams {
 		s.Dialled = available * dialledParts / totalParts
 		s.Idle = s.Dialled / idleDivisor
@@ -42,9 +42,9 @@
 	return s
 }
 
-// LimitOfProcess returns how many file descriptors the process may open (RLIMIT_NOFILE),
+// DescriptorLimit returns how many file descriptors the process may open (RLIMIT_NOFILE),
 // or the common default of 1024 if the limit is unknown or practically unlimited.
-func LimitOfProcess() int {
+func DescriptorLimit() int {
 	const defaultLimit = 1024
 	limit := syscall.Rlimit{}
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > 1<<30 {
--- a/internal/transport/upstream/client.go
+++ b/internal/transport/upstream/client.go
@@ -40,7 +40,7 @@
 
 // NewClient creates a client whose connections stay within the share. It does not follow
 // redirects, which upstreams do not send. The logger may be nil.
-func NewClient(share connections.Share, logger *logrus.Logger) *Client {
+func NewClient(share connections.Allocation, logger *logrus.Logger) *Client {
 	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: share.Idle}
 	return &Client{http: NewHTTP(traffic, connections.NewGroup("upstream", share.Dialled, logger), limits)}
 }
--- a/internal/transport/upstream/serve_test.go
+++ b/internal/transport/upstream/serve_test.go
@@ -109,7 +109,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			minion := startRawMinion(t, func(int64, *http.Request) (string, bool) { return c.text, false })
-			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, Body: []byte("x")})
+			answer, err := NewClient(connections.Allocate(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, Body: []byte("x")})
 			if c.code == "" {
 				is.NoErr(err)
 				is.Equal(string(answer.Body), c.body)
@@ -135,7 +135,7 @@
 				}
 				return "", false
 			})
-			client := NewClient(connections.ShareOf(1024, true), nil)
+			client := NewClient(connections.Allocate(1024, true), nil)
 			call := &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, Body: []byte(body)}
 			_, err := client.Serve(t.Context(), minion.address, call)
 			is.NoErr(err)
@@ -169,7 +169,7 @@
 		t.Run(fmt.Sprintf("minion gone %t", minionGone), func(t *testing.T) {
 			is := is.New(t)
 			minion := startRawMinion(t, func(int64, *http.Request) (string, bool) { return okResponse("Content-Length: 0\r\n\r\n"), true })
-			client := NewClient(connections.ShareOf(1024, true), nil)
+			client := NewClient(connections.Allocate(1024, true), nil)
 			var broken, refuse atomic.Bool
 			client.http.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 				if refuse.Load() {
@@ -204,12 +204,12 @@
 	is.NoErr(err)
 	address := listener.Addr().String()
 	is.NoErr(listener.Close())
-	_, err = NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), address, &api.ServeCall{ID: requestID})
+	_, err = NewClient(connections.Allocate(1024, true), nil).Serve(t.Context(), address, &api.ServeCall{ID: requestID})
 	is.Equal(failure.From(err).Code, failure.Unreachable)
 	is.Equal(failure.From(err).NotRun, failure.NotRunTrue)
 	cancelled, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = NewClient(connections.ShareOf(1024, true), nil).Serve(cancelled, address, &api.ServeCall{ID: requestID})
+	_, err = NewClient(connections.Allocate(1024, true), nil).Serve(cancelled, address, &api.ServeCall{ID: requestID})
 	is.Equal(failure.From(err).Code, failure.DeadlinePassed)
 	is.Equal(failure.From(err).NotRun, failure.NotRunTrue)
 }
@@ -233,7 +233,7 @@
 			defer close(done)
 			dispatched := atomic.Bool{}
 			call := &api.ServeCall{ID: requestID, MaxBufferedBytes: 1 << 10, LateAnswerWindow: late, OnDispatch: dispatched.Store}
-			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(ctx, minion.address, call)
+			answer, err := NewClient(connections.Allocate(1024, true), nil).Serve(ctx, minion.address, call)
 			is.True(dispatched.Load())
 			if late == 0 {
 				is.Equal(failure.From(err).NotRun, failure.NotRunUnknown)
@@ -275,13 +275,13 @@
 			is := is.New(t)
 			minion := startRawMinion(t, func(int64, *http.Request) (string, bool) { return c.text, false })
 			to := &bufferSink{}
-			answer, err := NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 100, Sink: to})
+			answer, err := NewClient(connections.Allocate(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 100, Sink: to})
 			is.NoErr(err)
 			is.True(answer.Streamed)
 			is.Equal(answer.TruncationErr != nil, c.truncated)
 			is.True(strings.HasPrefix(full, to.String()))
 			is.True(c.truncated || to.String() == full)
-			_, err = NewClient(connections.ShareOf(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 100})
+			_, err = NewClient(connections.Allocate(1024, true), nil).Serve(t.Context(), minion.address, &api.ServeCall{ID: requestID, MaxBufferedBytes: 100})
 			is.True(err != nil)
 			is.Equal(failure.From(err).NotRun, failure.NotRunFalse)
 		})
