--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -91,12 +91,12 @@
 	if s.Log.Standard {
 		out = os.Stdout
 	}
-	sink := logsink.New(out, logsink.DefaultLength)
+	sink := logsink.New(out, logsink.DefaultQueueLength)
 	lifecycle.Append(fx.StopHook(sink.Close))
 	logger := logrus.New()
 	logger.SetOutput(sink)
 	logger.SetLevel(level)
-	logger.SetFormatter(&logsink.Limit{Formatter: formatter(s.Log.Format), PerSecond: logsink.DefaultPerSecond, Now: time.Now})
+	logger.SetFormatter(&logsink.RateLimitFormatter{Formatter: formatter(s.Log.Format), PerSecond: logsink.DefaultLinesPerSecond, Now: time.Now})
 	return logger, nil
 }
 
--- a/internal/transport/logsink/limit.go
+++ b/internal/transport/logsink/limit.go
@@ -12,17 +12,17 @@
 // several processes can be ordered.
 const TimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// DefaultPerSecond is the default limit of lines per message and second. The most frequent
+// DefaultLinesPerSecond is the default limit of lines per message and second. The most frequent
 // message, one line per task start, reaches it at 200 starts per second; 48 workers
 // produce 40 on average and 120 at most.
-const DefaultPerSecond = 200
+const DefaultLinesPerSecond = 200
 
 var linesSuppressed = expvar.NewInt("log_lines_suppressed")
 
-// Limit is a formatter that limits the lines of each message per second; messages are
+// RateLimitFormatter is a formatter that limits the lines of each message per second; messages are
 // fixed texts. Lines beyond the limit are suppressed and counted. Before the first line of
 // a later second it writes one line "suppressed" per affected message with the count.
-type Limit struct {
+type RateLimitFormatter struct {
 	Formatter logrus.Formatter
 	PerSecond int
 	Now       func() time.Time
@@ -34,7 +34,7 @@
 
 // Format formats an entry, and returns nothing for a suppressed one, except for reports of
 // lines suppressed before.
-func (l *Limit) Format(entry *logrus.Entry) ([]byte, error) {
+func (l *RateLimitFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	suppressed, allowed := l.count(entry.Message)
 	var out []byte
 	for message, count := range suppressed {
@@ -55,7 +55,7 @@
 // count counts a line and reports whether it is within the limit. With the first line of a
 // new second it also returns the number of suppressed lines by message since the last
 // report.
-func (l *Limit) count(message string) (suppressed map[string]int, allowed bool) {
+func (l *RateLimitFormatter) count(message string) (suppressed map[string]int, allowed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if second := l.Now().Unix(); second != l.second || l.counts == nil {
@@ -66,7 +66,7 @@
 	return suppressed, l.counts[message] <= l.PerSecond
 }
 
-func (l *Limit) overLimit() map[string]int {
+func (l *RateLimitFormatter) overLimit() map[string]int {
 	suppressed := map[string]int{}
 	for message, count := range l.counts {
 		if count > l.PerSecond {
@@ -76,7 +76,7 @@
 	return suppressed
 }
 
-func (l *Limit) suppressedEntry(logger *logrus.Logger, message string, count int) *logrus.Entry {
+func (l *RateLimitFormatter) suppressedEntry(logger *logrus.Logger, message string, count int) *logrus.Entry {
 	entry := logrus.NewEntry(logger).WithFields(logrus.Fields{"kind": message, "lines": count})
 	entry.Level, entry.Time, entry.Message = logrus.WarnLevel, l.Now(), "suppressed"
 	return entry
--- a/internal/transport/logsink/logsink_test.go
+++ b/internal/transport/logsink/logsink_test.go
@@ -125,7 +125,7 @@
 	out := &bytes.Buffer{}
 	logger := logrus.New()
 	logger.SetOutput(out)
-	logger.SetFormatter(&logsink.Limit{Formatter: &logrus.JSONFormatter{}, PerSecond: 5, Now: func() time.Time { return now }})
+	logger.SetFormatter(&logsink.RateLimitFormatter{Formatter: &logrus.JSONFormatter{}, PerSecond: 5, Now: func() time.Time { return now }})
 	for range 1000 {
 		logger.Info("busy")
 	}
@@ -139,10 +139,10 @@
 }
 
 func BenchmarkLine(b *testing.B) {
-	sink := logsink.New(io.Discard, logsink.DefaultLength)
+	sink := logsink.New(io.Discard, logsink.DefaultQueueLength)
 	logger := logrus.New()
 	logger.SetOutput(sink)
-	logger.SetFormatter(&logsink.Limit{Formatter: &logrus.JSONFormatter{}, PerSecond: 1 << 30, Now: time.Now})
+	logger.SetFormatter(&logsink.RateLimitFormatter{Formatter: &logrus.JSONFormatter{}, PerSecond: 1 << 30, Now: time.Now})
 	for b.Loop() {
 		logger.WithFields(logrus.Fields{"task": "5c0e7a21d94b36f8.0.1.17", "run": 2, "worker": "i-7f3a91c2", "index": 4711}).Info("started")
 	}
--- a/internal/transport/logsink/sink.go
+++ b/internal/transport/logsink/sink.go
@@ -12,9 +12,9 @@
 	"time"
 )
 
-// DefaultLength is the default capacity of the queue, in lines: two seconds of a leader
+// DefaultQueueLength is the default capacity of the queue, in lines: two seconds of a leader
 // that logs several messages at their rate limit, or 1 MB of memory at 250 bytes per line.
-const DefaultLength = 4096
+const DefaultQueueLength = 4096
 
 // maxWrite limits the bytes of one write that combines queued lines. Writes of up to this
 // size to a pipe are atomic (PIPE_BUF); longer ones may be interleaved in the middle of a
