--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -44,7 +44,7 @@
 	if limit == 0 {
 		limit = connections.DescriptorLimit()
 	}
-	return connections.Allocate(limit, s.Leased == nil || s.Instance.DataFolder != "")
+	return connections.Allocate(limit, s.LeaderLeases == nil || s.Instance.DataFolder != "")
 }
 
 // newAccepted returns the group that limits the connections of all callers and
@@ -88,7 +88,7 @@
 		return nil, failure.Wrap(failure.BadSettings, err, "[log] level")
 	}
 	out := os.Stderr
-	if s.Log.Standard {
+	if s.Log.Stdout {
 		out = os.Stdout
 	}
 	sink := logsink.New(out, logsink.DefaultQueueLength)
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -72,7 +72,7 @@
 	var following *follower.Follower
 	following = follower.New(follower.Config{
 		Self:            follower.Candidate{Name: s.Instance.Name, DataCentre: s.Instance.DataCentre},
-		Voters:          s.Control.Contacts(),
+		Voters:          s.Control.SeedInstances(),
 		FreshnessBound:  s.Control.FreshnessBound,
 		ElectionTimeout: s.Control.ElectionTimeout,
 		Candidates:      func() []follower.Candidate { return candidates(s, registry, following.State()) },
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -90,8 +90,8 @@
 		"http":                address,
 		"data_centre":         s.Instance.DataCentre,
 		"data_folder":         s.Instance.DataFolder,
-		"seeds":               s.Control.Contacts(),
-		"tolerated":           s.Control.Tolerated,
+		"seeds":               s.Control.SeedInstances(),
+		"tolerated":           s.Control.ToleratedFailures,
 		"freshness_bound_ms":  s.Control.FreshnessBound.Milliseconds(),
 		"election_timeout_ms": s.Control.ElectionTimeout.Milliseconds(),
 		"lease_ms":            s.Upstreams.Lease.Milliseconds(),
@@ -101,8 +101,8 @@
 		"most_dialled":        share.Dialled,
 		"most_accepted":       share.Accepted,
 	}
-	if s.Leased != nil {
-		fields["metrics"] = s.Leased.Metrics.String()
+	if s.LeaderLeases != nil {
+		fields["metrics"] = s.LeaderLeases.Metrics.String()
 	}
 	return fields
 }
--- a/internal/app/leased.go
+++ b/internal/app/leased.go
@@ -34,7 +34,7 @@
 var leasedTraffic = counted.NewCounters("leased")
 
 func runLeased(lifecycle fx.Lifecycle, s *settings.Settings, node control.Node, registry *membership.Registry, network *peers.Network, share connections.Allocation, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
-	if s.Leased == nil {
+	if s.LeaderLeases == nil {
 		return nil
 	}
 	ignoreHangUp(lifecycle, logger)
@@ -48,10 +48,10 @@
 		// served when callers have taken all connections.
 		accepted *connections.Group
 	}{
-		{s.Leased.Control, platform.NewControl(newAnnouncements(node, registry, logger, s.Instance.Name, share.Accepted), operators.NewDesk(node, logger), s.Leased.Control, s.Leased.AnnounceEvery), accepted},
-		{s.Leased.Callers, platform.NewCallers(workflows.NewHandler(node, logger)), accepted},
-		{s.Leased.Metrics, metrics.Handler(), nil},
-		{s.Leased.Readiness, platform.Readiness(func() error { return ready(node, stopping) }), accepted},
+		{s.LeaderLeases.Control, platform.NewControl(newAnnouncements(node, registry, logger, s.Instance.Name, share.Accepted), operators.NewDesk(node, logger), s.LeaderLeases.Control, s.LeaderLeases.AnnounceEvery), accepted},
+		{s.LeaderLeases.Callers, platform.NewCallers(workflows.NewHandler(node, logger)), accepted},
+		{s.LeaderLeases.Metrics, metrics.Handler(), nil},
+		{s.LeaderLeases.Readiness, platform.Readiness(func() error { return ready(node, stopping) }), accepted},
 	}
 	var running []*http.Server
 	for _, server := range servers {
@@ -67,7 +67,7 @@
 	lifecycle.Append(fx.StopHook(func(ctx context.Context) {
 		logger.WithField("requests", "draining").Info("stop")
 		stopping.Store(true)
-		if s.Leased.Callers.IsValid() && !failed.Load() {
+		if s.LeaderLeases.Callers.IsValid() && !failed.Load() {
 			control.Sleep(ctx, s.Stop.Notice)
 		}
 		grace, cancel := context.WithTimeout(ctx, s.Stop.Grace)
--- a/internal/app/main.go
+++ b/internal/app/main.go
@@ -34,8 +34,8 @@
 	if err != nil {
 		return report(err)
 	}
-	if loaded.Leased != nil && *metricsPort > 0 {
-		loaded.Leased.Metrics = netip.AddrPortFrom(loaded.Instance.ListenHTTP.Addr(), uint16(*metricsPort))
+	if loaded.LeaderLeases != nil && *metricsPort > 0 {
+		loaded.LeaderLeases.Metrics = netip.AddrPortFrom(loaded.Instance.ListenHTTP.Addr(), uint16(*metricsPort))
 	}
 	override(&loaded.Log.Level, *level)
 	override(&loaded.Log.Format, *format)
--- a/internal/app/membership.go
+++ b/internal/app/membership.go
@@ -36,8 +36,8 @@
 // the other tasks of its gang would continue without it.
 func originTTL(s *settings.Settings) time.Duration {
 	every := s.Upstreams.AnnounceEvery
-	if s.Leased != nil {
-		every = s.Leased.AnnounceEvery
+	if s.LeaderLeases != nil {
+		every = s.LeaderLeases.AnnounceEvery
 	}
 	return s.Control.FreshnessBound + api.AnnouncementsMissed*every + peerPingInterval
 }
--- a/internal/app/membership_test.go
+++ b/internal/app/membership_test.go
@@ -82,7 +82,7 @@
 		// One announcement finds the instance stale, the next reaches another instance.
 		redirected := s.Control.FreshnessBound + 2*every
 		is.True(originTTL(s)-peerPingInterval >= redirected)
-		s.Leased = &settings.Leased{AnnounceEvery: 2 * every}
+		s.LeaderLeases = &settings.LeaderLeases{AnnounceEvery: 2 * every}
 		is.True(originTTL(s)-peerPingInterval >= s.Control.FreshnessBound+4*every)
 	}
 }
--- a/internal/app/softstate.go
+++ b/internal/app/softstate.go
@@ -95,7 +95,7 @@
 	case *peerpb.Call_Introduce:
 		// Only replicas introduce themselves; the leader must monitor a new one before
 		// it can add it as a member.
-		if s.settings.Leased != nil {
+		if s.settings.LeaderLeases != nil {
 			s.network.Learn(call.From)
 		}
 	case *peerpb.Call_Explain:
--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -49,7 +49,7 @@
 
 func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, share connections.Allocation, logger *logrus.Logger) *workers {
 	log, leads := node.(leases.Log)
-	if s.Leased == nil || !leads {
+	if s.LeaderLeases == nil || !leads {
 		return &workers{commands: client, registry: registry, mayLead: leads}
 	}
 	w := &workers{wakeups: make(chan struct{}, 1), mayLead: true}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,8 +23,8 @@
 	Log       Log
 	TLS       TLS
 	PeersTLS  PeersTLS
-	// Leased is nil if workers renew their leases by announcements.
-	Leased *Leased
+	// LeaderLeases is nil if workers renew their leases by announcements.
+	LeaderLeases *LeaderLeases
 	// Customers and Operators map a name to the SHA-256 of its token.
 	Customers map[string][]byte
 	Operators map[string][]byte
@@ -51,10 +51,10 @@
 	// Seeds are the instances to contact for the log when no other is known; if
 	// empty, the voters are used.
 	Seeds []string
-	// Tolerated is the number of simultaneous replica failures to tolerate. Replicas
-	// are added automatically until there are 2*Tolerated+1 voters; 0 keeps the
+	// ToleratedFailures is the number of simultaneous replica failures to tolerate. Replicas
+	// are added automatically until there are 2*ToleratedFailures+1 voters; 0 keeps the
 	// number of Voters.
-	Tolerated int
+	ToleratedFailures int
 	// FreshnessBound is the maximum age of the control state on which work is admitted.
 	FreshnessBound time.Duration
 	// ElectionTimeout is the minimum time without a message from a leader before a
@@ -102,13 +102,13 @@
 type Log struct {
 	Level  string
 	Format string
-	// Standard writes log lines to standard output instead of standard error.
-	Standard bool
+	// Stdout writes log lines to standard output instead of standard error.
+	Stdout bool
 }
 
-// Leased configures the mode in which the leader renews workers' leases and callers
+// LeaderLeases configures the mode in which the leader renews workers' leases and callers
 // submit workflows to queues. A zero address is not served.
-type Leased struct {
+type LeaderLeases struct {
 	Callers   netip.AddrPort
 	Readiness netip.AddrPort
 	Control   netip.AddrPort
@@ -118,9 +118,9 @@
 	AnnounceEvery time.Duration
 }
 
-// Contacts returns the instances to contact at startup: Seeds, or Voters if there
+// SeedInstances returns the instances to contact at startup: Seeds, or Voters if there
 // are no seeds.
-func (c *Control) Contacts() []string {
+func (c *Control) SeedInstances() []string {
 	if len(c.Seeds) > 0 {
 		return c.Seeds
 	}
@@ -129,8 +129,8 @@
 
 // WantedVoters returns the target number of voters.
 func (c *Control) WantedVoters() int {
-	if c.Tolerated > 0 {
-		return 2*c.Tolerated + 1
+	if c.ToleratedFailures > 0 {
+		return 2*c.ToleratedFailures + 1
 	}
 	return len(c.Voters)
 }
