--- a/internal/app/announcements.go
+++ b/internal/app/announcements.go
@@ -79,9 +79,9 @@
 	return a.registry.Merge(upstream)
 }
 
-// Depart records that a worker has departed, under a version higher than those of its
+// Departed records that a worker has departed, under a version higher than those of its
 // announcements. It fails while this instance is not fresh.
-func (a *announcements) Depart(id string) error {
+func (a *announcements) Departed(id string) error {
 	if err := a.node.CheckFresh(); err != nil {
 		return err
 	}
@@ -106,11 +106,11 @@
 // for the first time need connections, too.
 const leaderConnectionsDivisor = 2
 
-// AnnounceTo returns the instance that workers should announce themselves to: the leader,
+// AnnouncementTarget returns the instance that workers should announce themselves to: the leader,
 // which then gets their announcements directly, or this instance where the leader could
 // not accept a connection from each. Workers refused by the leader would come back and be
 // redirected to it again, each time on a new connection.
-func (a *announcements) AnnounceTo() string {
+func (a *announcements) AnnouncementTarget() string {
 	if int(a.workers.Load())*leaderConnectionsDivisor > a.maxConnections {
 		return a.self
 	}
--- a/internal/app/announcements_test.go
+++ b/internal/app/announcements_test.go
@@ -34,6 +34,6 @@
 		if i > maxConnections/leaderConnectionsDivisor {
 			want = "self"
 		}
-		is.Equal(a.AnnounceTo(), want)
+		is.Equal(a.AnnouncementTarget(), want)
 	}
 }
--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -60,7 +60,7 @@
 		Wake:           w.wake,
 		Logger:         logger,
 	}
-	w.leaseManager = leases.NewManager(config, log, registry, platform.NewWorkers(share, logger))
+	w.leaseManager = leases.NewManager(config, log, registry, platform.NewWorkerClient(share, logger))
 	w.commands, w.registry = w.leaseManager, w.leaseManager
 	w.term = log.Term
 	return w
