--- a/internal/command/trace.go
+++ b/internal/command/trace.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		trace := logstory.Story(lines, args[0])
+		trace := logstory.Timeline(lines, args[0])
 		if len(trace) == 0 {
 			return failure.New(failure.NotFound, "none of %d log lines names %s", len(lines), args[0])
 		}
@@ -68,7 +68,7 @@
 func (t *Tool) printTrace(trace []logstory.Line) error {
 	for _, line := range trace {
 		mark := " "
-		if line.Around {
+		if line.Context {
 			mark = "~"
 		}
 		_, err := fmt.Fprintf(t.out, "%s %s %-20s %s  %s\n", line.Time.Format(clockFormat), mark, line.Process, line.Message, line.Text())
--- a/internal/protocol/logstory/logstory.go
+++ b/internal/protocol/logstory/logstory.go
@@ -34,9 +34,9 @@
 	Message string    `json:"message"`
 	// Fields holds the other fields of the line.
 	Fields map[string]any `json:"fields"`
-	// Around marks a context line: one that does not contain the id but is about a
+	// Context marks a context line: one that does not contain the id but is about a
 	// worker, a leader or a process.
-	Around bool `json:"around,omitempty"`
+	Context bool `json:"around,omitempty"`
 }
 
 // Read reads a log of JSON lines. A line may have a prefix added by a log collector;
@@ -87,10 +87,10 @@
 	return line, true
 }
 
-// Story returns the lines that mention an id and their context lines, ordered by time.
+// Timeline returns the lines that mention an id and their context lines, ordered by time.
 // Of lines with the same time, those that mention the id come first, each group in the
 // order of lines. It returns nil if no line mentions the id.
-func Story(lines []Line, id string) []Line {
+func Timeline(lines []Line, id string) []Line {
 	var timeline []Line
 	workers := map[string]bool{}
 	for _, line := range lines {
@@ -112,7 +112,7 @@
 		if line.Time.Before(from) || line.Time.After(to) || line.mentions(id) || !line.isContextFor(workers) {
 			continue
 		}
-		line.Around = true
+		line.Context = true
 		timeline = append(timeline, line)
 	}
 	slices.SortStableFunc(timeline, byTime)
--- a/internal/protocol/logstory/logstory_test.go
+++ b/internal/protocol/logstory/logstory_test.go
@@ -36,9 +36,9 @@
 	is.NoErr(err)
 	is.Equal(skipped, 1)
 	var got []string
-	for _, line := range logstory.Story(append(lines, more...), "aa") {
+	for _, line := range logstory.Timeline(append(lines, more...), "aa") {
 		mark := ""
-		if line.Around {
+		if line.Context {
 			mark = "~"
 		}
 		got = append(got, mark+line.Process+" "+line.Message)
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	lines, _, err := logstory.Read("x", strings.NewReader(coreLog))
 	is.NoErr(err)
-	is.Equal(len(logstory.Story(lines, "bb")), 0)
+	is.Equal(len(logstory.Timeline(lines, "bb")), 0)
 }
 
 func FuzzRead(f *testing.F) {
@@ -71,7 +71,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		lines, _, err := logstory.Read("p", strings.NewReader(text))
 		if err == nil {
-			logstory.Story(lines, "aa")
+			logstory.Timeline(lines, "aa")
 		}
 	})
 }
