--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -31,7 +31,7 @@
 
 func newNetwork(s *settings.Settings) (*peers.Network, error) {
 	network := peers.NewNetwork(s.Instance.Name, s.Peers)
-	network.Learn(s.Control.Seeds...)
+	network.AddDiscovered(s.Control.Seeds...)
 	if s.PeersTLS.Certificate == "" {
 		return network, nil
 	}
--- a/internal/app/leased.go
+++ b/internal/app/leased.go
@@ -48,7 +48,7 @@
 		// served when callers have taken all connections.
 		accepted *connections.Group
 	}{
-		{s.LeaderLeases.Control, platform.NewControlHandler(newAnnouncements(node, registry, logger, s.Instance.Name, share.Accepted), operators.NewDesk(node, logger), s.LeaderLeases.Control, s.LeaderLeases.AnnounceEvery), accepted},
+		{s.LeaderLeases.Control, platform.NewControlHandler(newAnnouncements(node, registry, logger, s.Instance.Name, share.Accepted), operators.NewService(node, logger), s.LeaderLeases.Control, s.LeaderLeases.AnnounceEvery), accepted},
 		{s.LeaderLeases.Callers, platform.NewJobHandler(workflows.NewHandler(node, logger)), accepted},
 		{s.LeaderLeases.Metrics, metrics.Handler(), nil},
 		{s.LeaderLeases.Readiness, platform.Readiness(func() error { return ready(node, stopping) }), accepted},
--- a/internal/app/members.go
+++ b/internal/app/members.go
@@ -41,9 +41,9 @@
 	control.Every(ctx, membersInterval, func() {
 		configuration := replica.Status().Configuration
 		for _, member := range configuration.GetMembers() {
-			m.network.Learn(member.Instance)
+			m.network.AddDiscovered(member.Instance)
 		}
-		m.network.Learn(m.node.Leader())
+		m.network.AddDiscovered(m.node.Leader())
 		if m.node.IsLeader() {
 			m.publishReplicas(ctx, configuration.GetMembers())
 		}
--- a/internal/app/membership.go
+++ b/internal/app/membership.go
@@ -39,7 +39,7 @@
 	if s.LeaderLeases != nil {
 		every = s.LeaderLeases.AnnounceEvery
 	}
-	return s.Control.FreshnessBound + api.AnnouncementsMissed*every + peerPingInterval
+	return s.Control.FreshnessBound + api.MaxMissedAnnouncements*every + peerPingInterval
 }
 
 var membershipModule = fx.Module("membership",
@@ -60,7 +60,7 @@
 // fixedTimeout is the same timeout for every peer.
 type fixedTimeout time.Duration
 
-func (fixedTimeout) Heard(string, time.Time) {}
+func (fixedTimeout) ObserveAnswer(string, time.Time) {}
 
 func (t fixedTimeout) Timeout(string) time.Duration { return time.Duration(t) }
 
--- a/internal/app/repair.go
+++ b/internal/app/repair.go
@@ -38,7 +38,7 @@
 		RepairCost:   repairCost,
 	})
 	config := repairer.Config{
-		Repair: repair.Config{Voters: s.Control.WantedVoters(), CutDelay: maxRepairDelay},
+		Repair: repair.Config{Voters: s.Control.WantedVoters(), PartitionDelay: maxRepairDelay},
 		Window: livenessWindow,
 		Now:    time.Now,
 		Logger: logger,
--- a/internal/app/softstate.go
+++ b/internal/app/softstate.go
@@ -96,7 +96,7 @@
 		// Only replicas introduce themselves; the leader must monitor a new one before
 		// it can add it as a member.
 		if s.settings.LeaderLeases != nil {
-			s.network.Learn(call.From)
+			s.network.AddDiscovered(call.From)
 		}
 	case *peerpb.Call_Explain:
 		return s.explain.serve(body.Explain)
--- a/internal/coordination/dispatch/gang/lease.go
+++ b/internal/coordination/dispatch/gang/lease.go
@@ -66,7 +66,7 @@
 // announcementTTL is how long an announcement stays valid. A member counts as vanished
 // only after it was missing for this long, because a leader cannot tell an absent
 // worker from one whose announcement has not reached it yet.
-func (c Config) announcementTTL() time.Duration { return api.AnnouncementsMissed * c.AnnounceEvery }
+func (c Config) announcementTTL() time.Duration { return api.MaxMissedAnnouncements * c.AnnounceEvery }
 
 // startTimeout is the time limit of the start of a gang: two commands to each member (reserve and
 // start), plus the time in which a new leader receives the workers' announcements.
--- a/internal/coordination/operators/operators.go
+++ b/internal/coordination/operators/operators.go
@@ -23,8 +23,8 @@
 	logger *logrus.Logger
 }
 
-// NewDesk creates a Service.
-func NewDesk(log control.Log, logger *logrus.Logger) *Service {
+// NewService creates a Service.
+func NewService(log control.Log, logger *logrus.Logger) *Service {
 	return &Service{log: log, logger: logger}
 }
 
--- a/internal/coordination/repair/repair.go
+++ b/internal/coordination/repair/repair.go
@@ -14,10 +14,10 @@
 type Config struct {
 	// Voters is the desired number of voters.
 	Voters int
-	// CutDelay is the minimum time after which an unresponsive voter counts as lost if
+	// PartitionDelay is the minimum time after which an unresponsive voter counts as lost if
 	// its whole data centre is unreachable: most such outages are network partitions,
 	// and the voters behind them return together.
-	CutDelay time.Duration
+	PartitionDelay time.Duration
 }
 
 // Member is one member of the log's configuration.
@@ -150,7 +150,7 @@
 	}
 	delay := voter.Delay
 	if !s.Reachable[voter.DataCentre] {
-		delay = max(delay, config.CutDelay)
+		delay = max(delay, config.PartitionDelay)
 	}
 	return voter.UnresponsiveFor > 0 && voter.UnresponsiveFor >= delay
 }
--- a/internal/coordination/repair/repair_test.go
+++ b/internal/coordination/repair/repair_test.go
@@ -14,7 +14,7 @@
 	partitionDelay = 2 * time.Hour
 )
 
-var config = Config{Voters: 3, CutDelay: partitionDelay}
+var config = Config{Voters: 3, PartitionDelay: partitionDelay}
 
 func voter(instance, dataCentre string, unresponsiveFor time.Duration) Member {
 	return Member{Identity: instance + ".id", Instance: instance, DataCentre: dataCentre, Voter: true, UnresponsiveFor: unresponsiveFor, Delay: delay}
--- a/internal/coordination/softstate/exchange_test.go
+++ b/internal/coordination/softstate/exchange_test.go
@@ -70,8 +70,8 @@
 
 type fixedTimeout time.Duration
 
-func (fixedTimeout) Heard(string, time.Time)        {}
-func (f fixedTimeout) Timeout(string) time.Duration { return time.Duration(f) }
+func (fixedTimeout) ObserveAnswer(string, time.Time) {}
+func (f fixedTimeout) Timeout(string) time.Duration  { return time.Duration(f) }
 
 func (i *instance) Peers() []string {
 	var others []string
--- a/internal/coordination/softstate/softstate.go
+++ b/internal/coordination/softstate/softstate.go
@@ -61,8 +61,8 @@
 
 // Observer records the answers of peers, for failure detection.
 type Observer interface {
-	// Heard records a peer's answer to a ping that was sent at that time.
-	Heard(peer string, at time.Time)
+	// ObserveAnswer records a peer's answer to a ping that was sent at that time.
+	ObserveAnswer(peer string, at time.Time)
 	// Timeout returns the time without a batch after which the peer's stream is given up.
 	Timeout(peer string) time.Duration
 }
--- a/internal/coordination/softstate/watch.go
+++ b/internal/coordination/softstate/watch.go
@@ -69,7 +69,7 @@
 	}
 	batchesReceived.Add(1)
 	pings.Acknowledge(batch.Echo)
-	x.observer.Heard(peer, at)
+	x.observer.ObserveAnswer(peer, at)
 	return x.registry.Receive(peer, batch, at)
 }
 
--- a/internal/protocol/api/upstream.go
+++ b/internal/protocol/api/upstream.go
@@ -30,9 +30,9 @@
 	HeaderKey        = "Idempotency-Key"
 )
 
-// AnnouncementsMissed is the number of consecutive announcements that an upstream may
+// MaxMissedAnnouncements is the number of consecutive announcements that an upstream may
 // miss before it is considered gone.
-const AnnouncementsMissed = 3
+const MaxMissedAnnouncements = 3
 
 // Announcement is the state that a worker or minion reports about itself. Incarnation
 // increases with each start of the upstream, Version with each announcement.
--- a/internal/transport/httpapi/feasible.go
+++ b/internal/transport/httpapi/feasible.go
@@ -56,7 +56,7 @@
 // to announce itself to some instance and this instance to receive it; before that,
 // feasible work would be rejected as infeasible.
 func (s *Server) knownWorkers() (workers []scheduling.Worker, known bool) {
-	if time.Since(s.started) < api.AnnouncementsMissed*s.settings.Upstreams.AnnounceEvery+announceGrace {
+	if time.Since(s.started) < api.MaxMissedAnnouncements*s.settings.Upstreams.AnnounceEvery+announceGrace {
 		return nil, false
 	}
 	for _, worker := range s.registry.Live(peerpb.UpstreamKind_UPSTREAM_KIND_WORKER) {
--- a/internal/transport/httpapi/upstreams.go
+++ b/internal/transport/httpapi/upstreams.go
@@ -39,7 +39,7 @@
 	if announcement.ID == "" || announcement.Address == "" {
 		return nil, failure.New(failure.BadRequest, "an announcement names id and address")
 	}
-	ttl := s.announceInterval() * api.AnnouncementsMissed
+	ttl := s.announceInterval() * api.MaxMissedAnnouncements
 	return announcement, s.registry.Merge(announcement.Upstream(kind, ttl))
 }
 
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -77,8 +77,8 @@
 	return &Network{name: name, addresses: addresses, sessions: map[string]*link{}, discovered: map[string]bool{}}
 }
 
-// Learn adds discovered instances, whose names are their addresses.
-func (n *Network) Learn(names ...string) {
+// AddDiscovered adds discovered instances, whose names are their addresses.
+func (n *Network) AddDiscovered(names ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, name := range names {
