--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -26,7 +26,7 @@
 		fx.Supply(s),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.StopTimeout(s.Stop.Notice+s.Stop.Grace+stopMargin),
-		fx.Provide(newLogger, newShare, newAccepted),
+		fx.Provide(newLogger, newAllocation, newAccepted),
 		controlModule,
 		membershipModule,
 		requestsModule,
@@ -36,10 +36,10 @@
 	)
 }
 
-// newShare divides the file descriptors that this process may open between dialled and
+// newAllocation divides the file descriptors that this process may open between dialled and
 // accepted connections. On the platform an instance without a replica of the log serves
 // callers but sends no commands to workers.
-func newShare(s *settings.Settings) connections.Allocation {
+func newAllocation(s *settings.Settings) connections.Allocation {
 	limit := s.Instance.Descriptors
 	if limit == 0 {
 		limit = connections.DescriptorLimit()
@@ -49,8 +49,8 @@
 
 // newAccepted returns the group that limits the connections of all callers and
 // upstreams together.
-func newAccepted(share connections.Allocation, logger *logrus.Logger) *connections.Group {
-	return connections.NewGroup("accepted", share.Accepted, logger)
+func newAccepted(allocation connections.Allocation, logger *logrus.Logger) *connections.Group {
+	return connections.NewGroup("accepted", allocation.Accepted, logger)
 }
 
 // stopMargin is added to notice and grace for the shutdown steps after the last request.
--- a/internal/app/http.go
+++ b/internal/app/http.go
@@ -37,7 +37,7 @@
 // traffic counts the bytes of callers, operators and announcing upstreams together.
 var traffic = counted.NewCounters("http")
 
-func runHTTP(lifecycle fx.Lifecycle, s *settings.Settings, server *httpapi.Server, executor *claims.Executor, share connections.Allocation, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
+func runHTTP(lifecycle fx.Lifecycle, s *settings.Settings, server *httpapi.Server, executor *claims.Executor, allocation connections.Allocation, accepted *connections.Group, failed *logFailed, logger *logrus.Logger) error {
 	listener, err := net.Listen("tcp", s.Instance.ListenHTTP.String())
 	if err != nil {
 		return failure.Wrap(failure.BadSettings, err, "[instance] listen_http")
@@ -54,7 +54,7 @@
 	lifecycle.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go serve(web, listener, logger)
-			logger.WithFields(effectiveSettings(s, share, listener.Addr().String())).Info("process started")
+			logger.WithFields(effectiveSettings(s, allocation, listener.Addr().String())).Info("process started")
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
@@ -84,7 +84,7 @@
 }
 
 // effectiveSettings returns the settings in effect, as fields for the log.
-func effectiveSettings(s *settings.Settings, share connections.Allocation, address string) logrus.Fields {
+func effectiveSettings(s *settings.Settings, allocation connections.Allocation, address string) logrus.Fields {
 	fields := logrus.Fields{
 		"instance":            s.Instance.Name,
 		"http":                address,
@@ -97,9 +97,9 @@
 		"lease_ms":            s.Upstreams.Lease.Milliseconds(),
 		"announce_every_ms":   s.Upstreams.AnnounceEvery.Milliseconds(),
 		"grace_ms":            s.Stop.Grace.Milliseconds(),
-		"descriptors":         share.Descriptors,
-		"most_dialled":        share.Dialled,
-		"most_accepted":       share.Accepted,
+		"descriptors":         allocation.Descriptors,
+		"most_dialled":        allocation.Dialled,
+		"most_accepted":       allocation.Accepted,
 	}
 	if s.LeaderLeases != nil {
 		fields["metrics"] = s.LeaderLeases.Metrics.String()
--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -47,7 +47,7 @@
 	mayLead bool
 }
 
-func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, share connections.Allocation, logger *logrus.Logger) *workers {
+func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, allocation connections.Allocation, logger *logrus.Logger) *workers {
 	log, leads := node.(leases.Log)
 	if s.LeaderLeases == nil || !leads {
 		return &workers{commands: client, registry: registry, mayLead: leads}
@@ -60,7 +60,7 @@
 		Wake:           w.wake,
 		Logger:         logger,
 	}
-	w.leaseManager = leases.NewManager(config, log, registry, platform.NewWorkerClient(share, logger))
+	w.leaseManager = leases.NewManager(config, log, registry, platform.NewWorkerClient(allocation, logger))
 	w.commands, w.registry = w.leaseManager, w.leaseManager
 	w.term = log.Term
 	return w
--- a/internal/transport/connections/share.go
+++ b/internal/transport/connections/share.go
@@ -33,13 +33,13 @@
 // dials no upstreams has all of them for accepted connections.
 func Allocate(limit int, dialsUpstreams bool) Allocation {
 	available := limit - min(reservedDescriptors, limit/reserveDivisor)
-	s := Allocation{Descriptors: limit, Accepted: available}
+	a := Allocation{Descriptors: limit, Accepted: available}
 	if dialsUpstreams {
-		s.Dialled = available * dialledParts / totalParts
-		s.Idle = s.Dialled / idleDivisor
-		s.Accepted = available - s.Dialled
+		a.Dialled = available * dialledParts / totalParts
+		a.Idle = a.Dialled / idleDivisor
+		a.Accepted = available - a.Dialled
 	}
-	return s
+	return a
 }
 
 // DescriptorLimit returns how many file descriptors the process may open (RLIMIT_NOFILE),
--- a/internal/transport/upstream/client.go
+++ b/internal/transport/upstream/client.go
@@ -38,11 +38,11 @@
 	http *http.Client
 }
 
-// NewClient creates a client whose connections stay within the share. It does not follow
+// NewClient creates a client whose connections stay within the allocation. It does not follow
 // redirects, which upstreams do not send. The logger may be nil.
-func NewClient(share connections.Allocation, logger *logrus.Logger) *Client {
-	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: share.Idle}
-	return &Client{http: NewHTTP(traffic, connections.NewGroup("upstream", share.Dialled, logger), limits)}
+func NewClient(allocation connections.Allocation, logger *logrus.Logger) *Client {
+	limits := Connections{DialTimeout: dialTimeout, Idle: maxIdlePerHost, IdleLife: idleTimeout, MostIdle: allocation.Idle}
+	return &Client{http: NewHTTP(traffic, connections.NewGroup("upstream", allocation.Dialled, logger), limits)}
 }
 
 // Connections limits the connections to upstreams.
