--- a/internal/app/app.go
+++ b/internal/app/app.go
@@ -26,7 +26,7 @@
 		fx.Supply(s),
 		fx.WithLogger(func() fxevent.Logger { return fxevent.NopLogger }),
 		fx.StopTimeout(s.Stop.Notice+s.Stop.Grace+stopMargin),
-		fx.Provide(newLogger, newShare, newAccepted),
+		fx.Provide(newLogger, newAllocation, newAccepted),
 		controlModule,
 		membershipModule,
 		requestsModule,
@@ -36,21 +36,21 @@
 	)
 }
 
-// newShare divides the file descriptors that this process may open between dialled and
+// newAllocation divides the file descriptors that this process may open between dialled and
 // accepted connections. On the platform an instance without a replica of the log serves
 // callers but sends no commands to workers.
-func newShare(s *settings.Settings) connections.Share {
+func newAllocation(s *settings.Settings) connections.Allocation {
 	limit := s.Instance.Descriptors
 	if limit == 0 {
-		limit = connections.LimitOfProcess()
+		limit = connections.DescriptorLimit()
 	}
-	return connections.ShareOf(limit, s.Leased == nil || s.Instance.DataFolder != "")
+	return connections.Allocate(limit, s.LeaderLeases == nil || s.Instance.DataFolder != "")
 }
 
 // newAccepted returns the group that limits the connections of all callers and
 // upstreams together.
-func newAccepted(share connections.Share, logger *logrus.Logger) *connections.Group {
-	return connections.NewGroup("accepted", share.Accepted, logger)
+func newAccepted(allocation connections.Allocation, logger *logrus.Logger) *connections.Group {
+	return connections.NewGroup("accepted", allocation.Accepted, logger)
 }
 
 // stopMargin is added to notice and grace for the shutdown steps after the last request.
@@ -88,15 +88,15 @@
 		return nil, failure.Wrap(failure.BadSettings, err, "[log] level")
 	}
 	out := os.Stderr
-	if s.Log.Standard {
+	if s.Log.Stdout {
 		out = os.Stdout
 	}
-	sink := logsink.New(out, logsink.DefaultLength)
+	sink := logsink.New(out, logsink.DefaultQueueLength)
 	lifecycle.Append(fx.StopHook(sink.Close))
 	logger := logrus.New()
 	logger.SetOutput(sink)
 	logger.SetLevel(level)
-	logger.SetFormatter(&logsink.Limit{Formatter: formatter(s.Log.Format), PerSecond: logsink.DefaultPerSecond, Now: time.Now})
+	logger.SetFormatter(&logsink.RateLimitFormatter{Formatter: formatter(s.Log.Format), PerSecond: logsink.DefaultLinesPerSecond, Now: time.Now})
 	return logger, nil
 }
 
--- a/internal/app/control.go
+++ b/internal/app/control.go
@@ -31,7 +31,7 @@
 
 func newNetwork(s *settings.Settings) (*peers.Network, error) {
 	network := peers.NewNetwork(s.Instance.Name, s.Peers)
-	network.Learn(s.Control.Seeds...)
+	network.AddDiscovered(s.Control.Seeds...)
 	if s.PeersTLS.Certificate == "" {
 		return network, nil
 	}
@@ -72,7 +72,7 @@
 	var following *follower.Follower
 	following = follower.New(follower.Config{
 		Self:            follower.Candidate{Name: s.Instance.Name, DataCentre: s.Instance.DataCentre},
-		Voters:          s.Control.Contacts(),
+		Voters:          s.Control.SeedInstances(),
 		FreshnessBound:  s.Control.FreshnessBound,
 		ElectionTimeout: s.Control.ElectionTimeout,
 		Candidates:      func() []follower.Candidate { return candidates(s, registry, following.State()) },
--- a/internal/app/softstate.go
+++ b/internal/app/softstate.go
@@ -63,7 +63,7 @@
 		DataCentre:  s.settings.Instance.DataCentre,
 		Applied:     state.Index(),
 		Revision:    state.Revision(),
-		Ready:       s.node.Fresh() == nil,
+		Ready:       s.node.CheckFresh() == nil,
 		HttpAddress: s.settings.Instance.ListenHTTP.String(),
 		LogRole:     s.node.Role(),
 		Replica:     s.settings.Instance.DataFolder != "",
@@ -95,8 +95,8 @@
 	case *peerpb.Call_Introduce:
 		// Only replicas introduce themselves; the leader must monitor a new one before
 		// it can add it as a member.
-		if s.settings.Leased != nil {
-			s.network.Learn(call.From)
+		if s.settings.LeaderLeases != nil {
+			s.network.AddDiscovered(call.From)
 		}
 	case *peerpb.Call_Explain:
 		return s.explain.serve(body.Explain)
--- a/internal/app/work.go
+++ b/internal/app/work.go
@@ -47,9 +47,9 @@
 	mayLead bool
 }
 
-func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, share connections.Share, logger *logrus.Logger) *workers {
+func newWorkers(s *settings.Settings, node control.Node, registry *membership.Registry, client *upstream.Client, allocation connections.Allocation, logger *logrus.Logger) *workers {
 	log, leads := node.(leases.Log)
-	if s.Leased == nil || !leads {
+	if s.LeaderLeases == nil || !leads {
 		return &workers{commands: client, registry: registry, mayLead: leads}
 	}
 	w := &workers{wakeups: make(chan struct{}, 1), mayLead: true}
@@ -60,7 +60,7 @@
 		Wake:           w.wake,
 		Logger:         logger,
 	}
-	w.leaseManager = leases.NewManager(config, log, registry, platform.NewWorkers(share, logger))
+	w.leaseManager = leases.NewManager(config, log, registry, platform.NewWorkerClient(allocation, logger))
 	w.commands, w.registry = w.leaseManager, w.leaseManager
 	w.term = log.Term
 	return w
--- a/internal/coordination/softstate/watch.go
+++ b/internal/coordination/softstate/watch.go
@@ -25,7 +25,7 @@
 			retry = minRetryDelay
 		}
 		streamsLost.Add(1)
-		control.Pause(ctx, x.jitter(retry))
+		control.Sleep(ctx, x.jitter(retry))
 		retry = min(2*retry, maxRetryDelay)
 	}
 }
@@ -69,7 +69,7 @@
 	}
 	batchesReceived.Add(1)
 	pings.Acknowledge(batch.Echo)
-	x.observer.Heard(peer, at)
+	x.observer.ObserveAnswer(peer, at)
 	return x.registry.Receive(peer, batch, at)
 }
 
--- a/internal/transport/httpapi/upstreams.go
+++ b/internal/transport/httpapi/upstreams.go
@@ -28,7 +28,7 @@
 		writeError(w, err)
 		return
 	}
-	writeJSON(w, s.setNextAnnouncement(&api.AnnounceReply{TryOther: s.control.Fresh() != nil}))
+	writeJSON(w, s.setNextAnnouncement(&api.AnnounceReply{TryOther: s.control.CheckFresh() != nil}))
 }
 
 func (s *Server) announce(r *http.Request, kind peerpb.UpstreamKind) (*api.Announcement, error) {
@@ -39,14 +39,14 @@
 	if announcement.ID == "" || announcement.Address == "" {
 		return nil, failure.New(failure.BadRequest, "an announcement names id and address")
 	}
-	ttl := s.announceInterval() * api.AnnouncementsMissed
+	ttl := s.announceInterval() * api.MaxMissedAnnouncements
 	return announcement, s.registry.Merge(announcement.Upstream(kind, ttl))
 }
 
 // renewLeases returns the reply to a worker's announcement. Leases are renewed only if
 // this instance's state is fresh.
 func (s *Server) renewLeases(announcement *api.Announcement) *api.AnnounceReply {
-	fresh := s.control.Fresh() == nil
+	fresh := s.control.CheckFresh() == nil
 	reply := renewal.Answer(s.control.State(), fresh, announcement.Tasks)
 	reply.LeaseMs = s.settings.Upstreams.Lease.Milliseconds()
 	return s.setNextAnnouncement(reply)
--- a/internal/transport/peers/peers.go
+++ b/internal/transport/peers/peers.go
@@ -77,8 +77,8 @@
 	return &Network{name: name, addresses: addresses, sessions: map[string]*link{}, discovered: map[string]bool{}}
 }
 
-// Learn adds discovered instances, whose names are their addresses.
-func (n *Network) Learn(names ...string) {
+// AddDiscovered adds discovered instances, whose names are their addresses.
+func (n *Network) AddDiscovered(names ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, name := range names {
@@ -136,7 +136,7 @@
 			return failure.Wrap(failure.Unreachable, err, "accept on %s", listener.Addr())
 		default:
 			acceptsFailed.Add(1)
-			control.Pause(ctx, acceptRetryDelay)
+			control.Sleep(ctx, acceptRetryDelay)
 		}
 	}
 }
